--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/AddressAnnouncement.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/AddressAnnouncement.java
@@ -12,20 +12,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the gateways' topic, and writes this gateway's address there unless it stands
- * there already.
+ * Follows the gateways' topic and writes the address of this gateway there unless the
+ * topic already contains it.
  * <p>
- * Each record wakes every gateway that waits for one. If all wrote theirs again after all
- * processes died, the fleet's reads would grow with the square of its size.
+ * Each record ends the long polls of all gateways. If all gateways wrote their addresses
+ * again after a restart of the whole fleet, the number of reads would grow with the
+ * square of its size.
  */
 final class AddressAnnouncement implements TopicFollower.Listener {
 
 	private static final Logger log = LoggerFactory.getLogger(AddressAnnouncement.class);
 
-	/** How often the address is written again, in case it was lost. */
+	/** Delay until a failed write is retried, in case the record was lost. */
 	private static final Duration RETRY_INTERVAL = Duration.ofSeconds(2);
 
-	private final GatewayAddress own;
+	private final GatewayAddress ownAddress;
 
 	private final TopicFollower.Listener directory;
 
@@ -37,14 +38,14 @@
 
 	/**
 	 * Creates the announcement.
-	 * @param own this gateway's address
-	 * @param directory receives all addresses
+	 * @param ownAddress the address of this gateway
+	 * @param directory receives the addresses of the other gateways
 	 * @param topics the store
-	 * @param eventLoop runs everything
+	 * @param eventLoop the event loop that runs all work
 	 */
-	AddressAnnouncement(GatewayAddress own, TopicFollower.Listener directory, SharedTopics topics,
+	AddressAnnouncement(GatewayAddress ownAddress, TopicFollower.Listener directory, SharedTopics topics,
 			EventLoop eventLoop) {
-		this.own = own;
+		this.ownAddress = ownAddress;
 		this.directory = directory;
 		this.topics = topics;
 		this.eventLoop = eventLoop;
@@ -53,25 +54,26 @@
 	@Override
 	public void changed(TopicRecord entry) {
 		byte[] value = entry.value();
-		if (entry.key().equals(this.own.name()) && value != null) {
-			this.announced = new String(value, StandardCharsets.UTF_8).equals(this.own.format());
+		if (entry.key().equals(this.ownAddress.name()) && value != null) {
+			this.announced = new String(value, StandardCharsets.UTF_8).equals(this.ownAddress.format());
 			return;
 		}
 		this.directory.changed(entry);
 	}
 
 	@Override
-	public void readThrough(long next) {
+	public void readThrough(long nextOffset) {
 		if (!this.announced) {
 			this.announced = true;
 			write();
 		}
 	}
 
-	// Until it succeeds, the other gateways don't know of this one.
+	// Retries without a limit: until a write succeeds, the other gateways do not discover
+	// this one.
 	private void write() {
-		byte[] value = this.own.format().getBytes(StandardCharsets.UTF_8);
-		this.topics.append(Topic.GATEWAYS, this.own.name(), value).whenComplete((outcome, failure) -> {
+		byte[] value = this.ownAddress.format().getBytes(StandardCharsets.UTF_8);
+		this.topics.append(Topic.GATEWAYS, this.ownAddress.name(), value).whenComplete((outcome, failure) -> {
 			if (outcome == null) {
 				log.atWarn().addKeyValue("cause", String.valueOf(failure)).log("address not written");
 				this.eventLoop.schedule(this::write, RETRY_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/BinaryFields.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/BinaryFields.java
@@ -9,47 +9,48 @@
  */
 final class BinaryFields {
 
-	private static final int SEVEN_BITS = 0x7f;
+	private static final int PAYLOAD_MASK = 0x7f;
 
-	private static final int CONTINUES = 0x80;
+	private static final int CONTINUATION_BIT = 0x80;
 
 	private BinaryFields() {
 	}
 
 	/**
-	 * Writes a number that is mostly small, in seven bits a byte.
-	 * @param out where to
+	 * Writes a number as a variable-length integer with seven bits in each byte, which is
+	 * short for small numbers.
+	 * @param out the output
 	 * @param value the number, not negative
 	 */
-	static void writeNumber(ByteBuf out, long value) {
-		long left = value;
-		while ((left & ~SEVEN_BITS) != 0) {
-			out.writeByte((int) (left & SEVEN_BITS) | CONTINUES);
-			left >>>= Byte.SIZE - 1;
+	static void writeVarint(ByteBuf out, long value) {
+		long remaining = value;
+		while ((remaining & ~PAYLOAD_MASK) != 0) {
+			out.writeByte((int) (remaining & PAYLOAD_MASK) | CONTINUATION_BIT);
+			remaining >>>= Byte.SIZE - 1;
 		}
-		out.writeByte((int) left);
+		out.writeByte((int) remaining);
 	}
 
-	static long readNumber(ByteBuf in) {
+	static long readVarint(ByteBuf in) {
 		long value = 0;
 		for (int shift = 0; shift < Long.SIZE; shift += Byte.SIZE - 1) {
 			int next = in.readByte();
-			value |= (long) (next & SEVEN_BITS) << shift;
-			if ((next & CONTINUES) == 0) {
+			value |= (long) (next & PAYLOAD_MASK) << shift;
+			if ((next & CONTINUATION_BIT) == 0) {
 				return value;
 			}
 		}
-		throw new IllegalArgumentException("a number must have at most 64 bits");
+		throw new IllegalArgumentException("varint must have at most 64 bits");
 	}
 
 	/**
 	 * Reads the number of entries that follow.
-	 * @param in where from
-	 * @return the number
-	 * @throws IllegalArgumentException if so many cannot follow
+	 * @param in the input
+	 * @return the number of entries
+	 * @throws IllegalArgumentException if the input cannot contain that many entries
 	 */
 	static int readCount(ByteBuf in) {
-		long count = readNumber(in);
+		long count = readVarint(in);
 		if (count < 0 || count > in.readableBytes()) {
 			throw new IllegalArgumentException("count must be from 0 to " + in.readableBytes() + ": " + count);
 		}
@@ -65,7 +66,7 @@
 	}
 
 	static void writeBytes(ByteBuf out, byte[] bytes) {
-		writeNumber(out, bytes.length);
+		writeVarint(out, bytes.length);
 		out.writeBytes(bytes);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/EventLoopLag.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/EventLoopLagMonitor.java
@@ -10,25 +10,26 @@
 /**
  * Measures how late the event loop runs its timers.
  * <p>
- * A VM that gets more work than its processor share allows shows nothing but late
- * answers; the lag distinguishes it from slow endpoints and full links.
+ * A VM that gets more work than its processor share allows shows no symptom other than
+ * slow responses; the lag distinguishes this case from slow endpoints and saturated
+ * links.
  */
-final class EventLoopLag {
+final class EventLoopLagMonitor {
 
-	private static final Logger log = LoggerFactory.getLogger(EventLoopLag.class);
+	private static final Logger log = LoggerFactory.getLogger(EventLoopLagMonitor.class);
 
-	/** From here on callers notice. */
-	private static final Duration LOGGED = Duration.ofMillis(250);
+	/** Lag from which callers notice the delay. */
+	private static final Duration LOG_THRESHOLD = Duration.ofMillis(250);
 
 	private final Duration interval;
 
 	private final Gauge gauge;
 
-	private long tickedAt;
+	private long lastFiredAt;
 
 	private boolean started;
 
-	EventLoopLag(Duration interval, PrometheusRegistry registry) {
+	EventLoopLagMonitor(Duration interval, PrometheusRegistry registry) {
 		this.interval = interval;
 		this.gauge = Gauge.builder()
 			.name("banyancove_event_loop_lag_seconds")
@@ -37,19 +38,19 @@
 	}
 
 	/**
-	 * Records that the timer ran.
-	 * @param now the present time, in ns of the steady clock
+	 * Records that the timer fired.
+	 * @param now the current time of the steady clock, in ns
 	 */
-	void ticked(long now) {
-		Duration late = Duration.ofNanos(now - this.tickedAt).minus(this.interval);
-		this.tickedAt = now;
+	void timerFired(long now) {
+		Duration lag = Duration.ofNanos(now - this.lastFiredAt).minus(this.interval);
+		this.lastFiredAt = now;
 		if (!this.started) {
 			this.started = true;
 			return;
 		}
-		this.gauge.set(Math.max(0, late.toNanos() / 1e9));
-		if (late.compareTo(LOGGED) > 0) {
-			log.atWarn().addKeyValue("lagMs", late.toMillis()).log("event loop lagged");
+		this.gauge.set(Math.max(0, lag.toNanos() / 1e9));
+		if (lag.compareTo(LOG_THRESHOLD) > 0) {
+			log.atWarn().addKeyValue("lagMs", lag.toMillis()).log("event loop lagged");
 		}
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/FleetExchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/FleetExchange.java
@@ -21,30 +21,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges reports with the other gateways, as datagrams.
+ * Exchanges reports with the other gateways as datagrams.
  * <p>
- * With n gateways, a report of each to each other one takes work that grows with n for
- * every gateway. Instead, each reports to the aggregators of its group, these exchange
- * the sums of their groups, and give the fleet's back to their group. All that is
- * reported are sums, so a lost datagram is made good by the next.
+ * If each of n gateways reported to all others, the work of every gateway would grow with
+ * n. Instead, each gateway reports to the aggregators of its group; the aggregators
+ * exchange the totals of their groups and return the totals of the fleet to their group.
+ * All reported values are totals, so the next datagram makes up for a lost one.
  */
 final class FleetExchange {
 
 	private static final Logger log = LoggerFactory.getLogger(FleetExchange.class);
 
-	/** Interval in groups of up to ten. */
-	private static final Duration INTERVAL = Duration.ofMillis(250);
+	/** Report interval in groups of up to ten gateways. */
+	private static final Duration REPORT_INTERVAL = Duration.ofMillis(250);
 
-	/** Gateways of a group from which on reports are sent less often. */
-	private static final double SMALL_GROUP = 10;
+	/** Group size above which reports are sent less often. */
+	private static final double SMALL_GROUP_SIZE = 10;
 
-	/** Missed intervals after which a gateway counts as unresponsive. */
-	private static final int MISSED_REPORTS = 2;
+	/** Missed report intervals after which a gateway counts as unresponsive. */
+	private static final int MISSED_REPORTS_THRESHOLD = 2;
 
-	/** The least time for it, so that a slow VM is not taken for a cut. */
+	/**
+	 * Lower bound of the response timeout, so that a slow VM is not mistaken for a
+	 * network partition.
+	 */
 	private static final Duration MINIMUM_RESPONSE_TIMEOUT = Duration.ofMillis(600);
 
-	/** How long an aggregator sends summaries to a gateway that stopped reporting. */
+	/**
+	 * Time for which an aggregator still sends summaries to a gateway that stopped
+	 * reporting.
+	 */
 	private static final Duration MEMBER_TIMEOUT = Duration.ofMillis(1500);
 
 	private final String name;
@@ -61,7 +67,7 @@
 
 	private final Consumer<Map<AccountName, Double>> remoteUsage;
 
-	private final Consumer<RelayedRecords> relayed;
+	private final Consumer<RelayedRecords> relayedRecords;
 
 	private final PeerTransport transport;
 
@@ -69,24 +75,24 @@
 
 	private final AggregatorSelection selection;
 
-	private final Map<InetSocketAddress, Long> reporting = new HashMap<>();
+	private final Map<InetSocketAddress, Long> reportingMembers = new HashMap<>();
 
 	private List<String> ownAggregators = List.of();
 
 	/**
 	 * Creates the exchange.
-	 * @param own this gateway's address
-	 * @param eventLoop runs everything
+	 * @param own the address of this gateway
+	 * @param eventLoop the event loop that runs all work
 	 * @param clock the steady clock
-	 * @param transport sends messages
-	 * @param peerTable records the others' reports
-	 * @param ownReport returns what this gateway reports of itself
-	 * @param remoteUsage consumes the usage accepted by other gateways, by client account
-	 * @param relayed consumes records that other gateways pass on
+	 * @param transport sends the messages
+	 * @param peerTable records the reports of other gateways
+	 * @param ownReport supplies the report of this gateway
+	 * @param remoteUsage receives the usage accepted by other gateways, by client account
+	 * @param relayedRecords receives the records that other gateways relay
 	 */
 	FleetExchange(GatewayAddress own, EventLoop eventLoop, SteadyClock clock, PeerTransport transport,
 			PeerTable peerTable, Supplier<GatewayReport> ownReport, Consumer<Map<AccountName, Double>> remoteUsage,
-			Consumer<RelayedRecords> relayed) {
+			Consumer<RelayedRecords> relayedRecords) {
 		this.name = own.name();
 		this.eventLoop = eventLoop;
 		this.clock = clock;
@@ -95,12 +101,12 @@
 		this.peerTable = peerTable;
 		this.ownReport = ownReport;
 		this.remoteUsage = remoteUsage;
-		this.relayed = relayed;
+		this.relayedRecords = relayedRecords;
 		this.selection = new AggregatorSelection(own.name());
 	}
 
 	/**
-	 * Returns what follows the gateways' topic.
+	 * Returns the listener that follows the gateways' topic.
 	 * @return the listener
 	 */
 	TopicFollower.Listener directory() {
@@ -109,59 +115,60 @@
 
 	/**
 	 * Returns the names of all gateways of the fleet.
-	 * @return the names, this gateway's included
+	 * @return the names, including this gateway
 	 */
 	Collection<String> gateways() {
 		return this.directory.names();
 	}
 
-	/** Reports now, and from now on at each interval. */
+	/** Sends a report now and then at each interval. */
 	void start() {
 		try {
 			report(this.clock.nanos());
 		}
 		catch (RuntimeException ex) {
-			// The timer would end for good; the next report may well succeed.
+			// An exception would end the timer for good, although the next report may
+			// succeed.
 			log.error("report failed", ex);
 		}
-		this.eventLoop.schedule(this::start, interval().toMillis(), TimeUnit.MILLISECONDS);
+		this.eventLoop.schedule(this::start, reportInterval().toMillis(), TimeUnit.MILLISECONDS);
 	}
 
-	Duration interval() {
-		double growth = Math.max(1, Math.sqrt(this.directory.largestGroup() / SMALL_GROUP));
-		return Duration.ofNanos((long) (INTERVAL.toNanos() * growth));
+	Duration reportInterval() {
+		double growth = Math.max(1, Math.sqrt(this.directory.largestGroup() / SMALL_GROUP_SIZE));
+		return Duration.ofNanos((long) (REPORT_INTERVAL.toNanos() * growth));
 	}
 
 	private Duration responseTimeout() {
-		Duration missed = interval().multipliedBy(MISSED_REPORTS);
+		Duration missed = reportInterval().multipliedBy(MISSED_REPORTS_THRESHOLD);
 		return (missed.compareTo(MINIMUM_RESPONSE_TIMEOUT) > 0) ? missed : MINIMUM_RESPONSE_TIMEOUT;
 	}
 
 	void report(long now) {
 		GatewayReport own = this.ownReport.get();
 		this.peerTable.ownReport(own);
-		this.reporting.values().removeIf((at) -> now - at > MEMBER_TIMEOUT.toNanos());
+		this.reportingMembers.values().removeIf((at) -> now - at > MEMBER_TIMEOUT.toNanos());
 		String group = this.directory.ownGroup();
 		List<String> aggregators = aggregators(group, now);
-		noteAggregators(group, aggregators);
+		updateAggregators(group, aggregators);
 		boolean aggregates = aggregators.contains(this.name);
 		this.peerTable.configure(aggregates, this.directory.groups(), responseTimeout());
 		byte[] report = this.codec.write(new PeerMessage.Report(own));
 		send(withProbes(group, aggregators, now), report);
-		if (this.directory.direct()) {
+		if (this.directory.fullMesh()) {
 			sendToOtherGroups(report, now);
 		}
 		else if (aggregates) {
 			sendToOtherGroups(this.codec.write(new PeerMessage.Summary(this.peerTable.groupSummary(group, now))), now);
 		}
-		if (!this.reporting.isEmpty()) {
+		if (!this.reportingMembers.isEmpty()) {
 			byte[] summary = this.codec.write(new PeerMessage.Summary(this.peerTable.fleetSummary(now)));
-			this.reporting.keySet().forEach((member) -> this.transport.write(member, summary));
+			this.reportingMembers.keySet().forEach((member) -> this.transport.write(member, summary));
 		}
 		this.transport.flush();
 	}
 
-	private void noteAggregators(String group, List<String> chosen) {
+	private void updateAggregators(String group, List<String> chosen) {
 		if (!chosen.equals(this.ownAggregators)) {
 			this.ownAggregators = chosen;
 			log.atInfo().addKeyValue("group", group).addKeyValue("aggregators", chosen).log("aggregators changed");
@@ -183,11 +190,11 @@
 		return this.selection.choose(this.directory.members(group), now);
 	}
 
-	// Adds the candidates that were passed over and whose turn it is to be asked again.
+	// Adds the candidates that were skipped and are due for another probe.
 	private List<String> withProbes(String group, List<String> chosen, long now) {
-		List<String> asked = new ArrayList<>(chosen);
-		asked.addAll(this.selection.probe(this.directory.members(group), chosen, now));
-		return asked;
+		List<String> recipients = new ArrayList<>(chosen);
+		recipients.addAll(this.selection.probe(this.directory.members(group), chosen, now));
+		return recipients;
 	}
 
 	private void send(List<String> names, byte[] message) {
@@ -200,9 +207,10 @@
 	}
 
 	/**
-	 * Passes on records that this gateway read: to the gateways that report here and to
-	 * the aggregators of all groups. One that is no aggregator gets no answers of other
-	 * groups, and does not know which of their members respond.
+	 * Relays records that this gateway read to the gateways that report here and to the
+	 * aggregators. Only an aggregator sends to the aggregators of other groups: a gateway
+	 * that is none receives no responses from other groups and cannot tell which of their
+	 * members respond.
 	 * @param records the records
 	 */
 	void relay(RelayedRecords records) {
@@ -217,41 +225,41 @@
 	}
 
 	/**
-	 * Passes on records that another gateway read to the gateways that report here.
+	 * Forwards records that another gateway read to the gateways that report here.
 	 * @param records the records
 	 */
 	void forward(RelayedRecords records) {
-		if (!this.reporting.isEmpty()) {
+		if (!this.reportingMembers.isEmpty()) {
 			sendToReporting(this.codec.write(new PeerMessage.Relay(records)));
 		}
 	}
 
 	private void sendToReporting(byte[] message) {
-		this.reporting.keySet().forEach((member) -> this.transport.write(member, message));
+		this.reportingMembers.keySet().forEach((member) -> this.transport.write(member, message));
 		this.transport.flush();
 	}
 
 	/**
-	 * Handles a message.
-	 * @param sender where it came from
+	 * Handles a datagram.
+	 * @param sender the address of the sender
 	 * @param datagram its content
 	 */
-	void received(InetSocketAddress sender, byte[] datagram) {
-		String gateway = this.directory.nameAt(sender);
+	void handleDatagram(InetSocketAddress sender, byte[] datagram) {
+		String gateway = this.directory.nameOf(sender);
 		if (gateway != null) {
 			this.selection.answered(gateway);
 		}
 		try {
 			switch (this.codec.read(datagram)) {
-				case PeerMessage.Report message -> {
-					if (!this.directory.direct()) {
-						this.reporting.put(sender, this.clock.nanos());
+				case PeerMessage.Report received -> {
+					if (!this.directory.fullMesh()) {
+						this.reportingMembers.put(sender, this.clock.nanos());
 					}
-					this.remoteUsage.accept(this.peerTable.read(message.report(), this.clock.nanos()));
+					this.remoteUsage.accept(this.peerTable.read(received.report(), this.clock.nanos()));
 				}
-				case PeerMessage.Summary message ->
-					this.remoteUsage.accept(this.peerTable.read(message.summary(), this.clock.nanos()));
-				case PeerMessage.Relay message -> this.relayed.accept(message.relayed());
+				case PeerMessage.Summary received ->
+					this.remoteUsage.accept(this.peerTable.read(received.summary(), this.clock.nanos()));
+				case PeerMessage.Relay received -> this.relayedRecords.accept(received.records());
 			}
 		}
 		catch (RuntimeException ex) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/Gateway.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/Gateway.java
@@ -48,48 +48,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A gateway's process: follows shared state, takes requests, and stops in order.
+ * The process of a gateway: follows shared state, serves requests and shuts down
+ * gracefully.
  */
 public final class Gateway {
 
 	private static final Logger log = LoggerFactory.getLogger(Gateway.class);
 
 	/**
-	 * How long the store may hold a read of the gateways' addresses until there is
-	 * something new: somewhat below its bound of 30 s. Calls are paid for; a connection
-	 * that went silent shows by its keep-alive probes before that.
+	 * Long-poll timeout of reads of the gateways' topic, somewhat below the store's limit
+	 * of 30 s. Calls are billed; keep-alive probes detect an unresponsive connection
+	 * earlier than that.
 	 */
-	private static final Duration GATEWAYS_WAIT = Duration.ofSeconds(25);
+	private static final Duration GATEWAYS_LONG_POLL_TIMEOUT = Duration.ofSeconds(25);
 
 	/**
-	 * Between two held reads of the gateways' addresses: while a fleet starts, each new
-	 * address would end the reads of all.
+	 * Interval between two long polls of that topic: while a fleet starts, each new
+	 * address would otherwise end the long polls of all gateways.
 	 */
-	private static final Duration GATEWAYS_INTERVAL = Duration.ofSeconds(1);
+	private static final Duration GATEWAYS_POLL_INTERVAL = Duration.ofSeconds(1);
 
 	/**
-	 * While another gateway holds the lease, its topic is read only to be near its end.
+	 * Poll interval of the lease while another gateway holds it: this gateway only stays
+	 * close to the end of the topic.
 	 */
-	private static final Duration LEASES_INTERVAL = Duration.ofSeconds(8);
+	private static final Duration LEASE_POLL_INTERVAL = Duration.ofSeconds(8);
 
-	/** When none does: several times within a lease. */
-	private static final Duration LEASES_INTERVAL_UNHELD = Duration.ofMillis(700);
+	/**
+	 * Poll interval of the lease while no gateway holds it: several times within a lease.
+	 */
+	private static final Duration UNHELD_LEASE_POLL_INTERVAL = Duration.ofMillis(700);
 
 	/**
-	 * The same for a gateway that is no aggregator: the aggregators claim first, and the
-	 * rest only if none of them reaches the store.
+	 * Poll interval of an unheld lease on a gateway that is not an aggregator:
+	 * aggregators claim the lease first, the others only if no aggregator reaches the
+	 * store.
 	 */
-	private static final Duration LEASES_INTERVAL_OTHERS = Duration.ofSeconds(5);
+	private static final Duration NON_AGGREGATOR_LEASE_POLL_INTERVAL = Duration.ofSeconds(5);
 
 	/**
-	 * The most between two attempts while reads fail, at a gateway that others rely on.
+	 * Maximum delay between two attempts while reads fail, on an aggregator, which other
+	 * gateways depend on.
 	 */
-	private static final Duration AGGREGATOR_RETRY_DELAY = Duration.ofMillis(250);
+	private static final Duration AGGREGATOR_MAXIMUM_RETRY_DELAY = Duration.ofMillis(250);
 
-	/** The same at any other. */
+	/** The same on any other gateway. */
 	private static final Duration MAXIMUM_RETRY_DELAY = Duration.ofSeconds(2);
 
-	private static final Duration TICK = Duration.ofMillis(200);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(200);
 
 	private final GatewaySettings settings;
 
@@ -107,7 +113,7 @@
 
 	private final RolloutTable rollouts = new RolloutTable();
 
-	private final ServingEndpoints serving;
+	private final ServingEndpoints servingEndpoints;
 
 	private final PeerTable peerTable;
 
@@ -117,29 +123,29 @@
 
 	private final GatewayMetrics metrics;
 
-	private final PlacementRule placement;
+	private final PlacementRule placementRule;
 
-	private final RequestFlow flow;
+	private final RequestFlow requestFlow;
 
-	private final CallerServer callers;
+	private final CallerServer callerServer;
 
-	private final StatusServer status;
+	private final StatusServer statusServer;
 
-	private final DutyWork duties;
+	private final LeaseHolderDuties leaseHolderDuties;
 
-	private final PeerChannel channel = new PeerChannel(this::received);
+	private final PeerChannel peerChannel = new PeerChannel(this::handleDatagram);
 
-	private final FleetExchange fleet;
+	private final FleetExchange fleetExchange;
 
-	private final DemandEstimator work = new DemandEstimator();
+	private final DemandEstimator demandEstimator = new DemandEstimator();
 
-	private final EventLoopLag lag;
+	private final EventLoopLagMonitor eventLoopLag;
 
-	private final StateWatch state;
+	private final SharedStateFollower sharedState;
 
-	private final ReadingDelegation delegation;
+	private final ReadDelegation readDelegation;
 
-	private FleetView others = FleetView.ALONE;
+	private FleetView fleetView = FleetView.ALONE;
 
 	private @Nullable Configuration configuration;
 
@@ -149,17 +155,17 @@
 
 	/**
 	 * Creates a gateway.
-	 * @param settings its settings
-	 * @param eventLoops a group of one loop, on which everything runs
+	 * @param settings the settings
+	 * @param eventLoops a group of one event loop, which runs all work
 	 * @param clocks the clocks
-	 * @param random the random numbers
-	 * @param headerCodec the words of headers
-	 * @param reader reads the records that others write
-	 * @param ports the platform's store and duties
+	 * @param random the random number generator
+	 * @param headerCodec the codec of headers
+	 * @param recordCodec the codec of the records that others write
+	 * @param ports the store and the duties of the platform
 	 * @param connections the connections to endpoints
 	 */
 	public Gateway(GatewaySettings settings, EventLoopGroup eventLoops, Clocks clocks, RandomGenerator random,
-			HeaderCodec headerCodec, RecordCodec reader, Ports ports, ClientConnections connections) {
+			HeaderCodec headerCodec, RecordCodec recordCodec, Ports ports, ClientConnections connections) {
 		this.settings = settings;
 		this.eventLoop = eventLoops.next();
 		this.clock = clocks.steady();
@@ -167,48 +173,50 @@
 		this.incarnation = random.nextLong() >>> 1;
 		PrometheusRegistry registry = new PrometheusRegistry();
 		this.metrics = new GatewayMetrics(registry);
-		this.lag = new EventLoopLag(TICK, registry);
+		this.eventLoopLag = new EventLoopLagMonitor(TICK_INTERVAL, registry);
 		this.usage = new UsageCounter(settings.usageWindow());
 		this.endpoints = new EndpointTable(new RateLimitAllotment(settings.name(), this::gateways));
-		this.serving = new ServingEndpoints(this.endpoints, this.rollouts);
-		this.placement = new PlacementRule(settings.zone());
-		this.flow = new RequestFlow(this.eventLoop, this.clock, clocks.wall(), random, headerCodec, connections,
-				this.serving, this::endpointsCurrent, this.placement, new Meters(this.usage, this.work), this.metrics,
-				settings.retryLimits());
-		this.callers = new CallerServer(eventLoops, this.clock, this::limits, this.flow);
-		this.peerTable = new PeerTable(this.incarnation, settings.zone());
-		this.address = new GatewayAddress(settings.name(), settings.peers(), settings.zone(),
+		this.servingEndpoints = new ServingEndpoints(this.endpoints, this.rollouts);
+		this.placementRule = new PlacementRule(settings.dataCenter());
+		this.requestFlow = new RequestFlow(this.eventLoop, this.clock, clocks.wall(), random, headerCodec, connections,
+				this.servingEndpoints, this::endpointsCurrent, this.placementRule,
+				new Meters(this.usage, this.demandEstimator), this.metrics, settings.retryLimits());
+		this.callerServer = new CallerServer(eventLoops, this.clock, this::callerLimits, this.requestFlow);
+		this.peerTable = new PeerTable(this.incarnation, settings.dataCenter());
+		this.address = new GatewayAddress(settings.name(), settings.peers(), settings.dataCenter(),
 				settings.processorShare());
-		this.fleet = new FleetExchange(this.address, this.eventLoop, this.clock, this.channel, this.peerTable,
-				this::report, this.flow::remoteUsage, this::relayed);
+		this.fleetExchange = new FleetExchange(this.address, this.eventLoop, this.clock, this.peerChannel,
+				this.peerTable, this::report, this.requestFlow::remoteUsage, this::applyRelayed);
 		this.eventLoops = eventLoops;
-		this.status = new StatusServer(eventLoops, this::ready, new MetricsText(registry));
-		LeaseKeeper keeper = new LeaseKeeper(settings.name(), this.incarnation, settings.lease(), random.nextDouble(),
-				this.clock.nanos());
-		EndpointScaling scaling = new EndpointScaling(ports.duties(), () -> this.others, this.work, this.serving);
-		RolloutWork rolloutWork = new RolloutWork(this.rollouts, new RolloutController(settings.exposureLimits()),
-				new RolloutStatus(this.topics, reader), () -> this.others, this.endpoints, clocks.wall());
-		this.duties = new DutyWork(this.topics, ports.duties(), this.clock, clocks.wall(), keeper, this.usage,
-				this.peerTable, scaling, rolloutWork);
-		this.delegation = new ReadingDelegation(this.clock, this.incarnation);
-		this.state = new StateWatch(this.topics, this.eventLoop, this.clock, reader, this.endpoints,
-				this.delegation::ofSharedState, this::maximumRetryDelay, this.fleet::relay, this.fleet::forward,
-				this::configure, this.rollouts::ordered, settings.changeDeadline());
+		this.statusServer = new StatusServer(eventLoops, this::ready, new MetricsText(registry));
+		LeaseKeeper leaseKeeper = new LeaseKeeper(settings.name(), this.incarnation, settings.lease(),
+				random.nextDouble(), this.clock.nanos());
+		EndpointAutoscaler autoscaler = new EndpointAutoscaler(ports.duties(), () -> this.fleetView,
+				this.demandEstimator, this.servingEndpoints);
+		RolloutExecutor rolloutExecutor = new RolloutExecutor(this.rollouts,
+				new RolloutController(settings.exposureLimits()), new RolloutStatusPublisher(this.topics, recordCodec),
+				() -> this.fleetView, this.endpoints, clocks.wall());
+		this.leaseHolderDuties = new LeaseHolderDuties(this.topics, ports.duties(), this.clock, clocks.wall(),
+				leaseKeeper, this.usage, this.peerTable, autoscaler, rolloutExecutor);
+		this.readDelegation = new ReadDelegation(this.clock, this.incarnation);
+		this.sharedState = new SharedStateFollower(this.topics, this.eventLoop, this.clock, recordCodec, this.endpoints,
+				this.readDelegation::delegatesSharedState, this::maximumRetryDelay, this.fleetExchange::relay,
+				this.fleetExchange::forward, this::configure, this.rollouts::ordered, settings.changeDeadline());
 	}
 
 	/**
-	 * Starts to listen and to follow shared state.
-	 * @param callersSocket where callers' connections arrive
+	 * Starts listening and following shared state.
+	 * @param callersSocket the socket that accepts connections of callers
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public void start(ServerSocketChannel callersSocket) throws InterruptedException {
-		this.callers.listen(callersSocket);
-		this.channel.listen(this.eventLoops, this.settings.peers());
-		this.status.listen(this.settings.readiness());
+		this.callerServer.listen(callersSocket);
+		this.peerChannel.listen(this.eventLoops, this.settings.peers());
+		this.statusServer.listen(this.settings.readiness());
 		if (this.settings.metrics() != null) {
-			this.status.listen(this.settings.metrics());
+			this.statusServer.listen(this.settings.metrics());
 		}
-		this.eventLoop.execute(this::follow);
+		this.eventLoop.execute(this::startFollowing);
 		log.atInfo()
 			.addKeyValue("name", this.settings.name())
 			.addKeyValue("incarnation", this.incarnation)
@@ -216,77 +224,80 @@
 			.log("started");
 	}
 
-	private void follow() {
-		this.state.start();
+	private void startFollowing() {
+		this.sharedState.start();
 		new TopicFollower(Topic.GATEWAYS, this.topics, this.eventLoop, this.clock,
-				new ReadPace(() -> GATEWAYS_INTERVAL, GATEWAYS_WAIT, () -> MAXIMUM_RETRY_DELAY), () -> false,
-				new AddressAnnouncement(this.address, this.fleet.directory(), this.topics, this.eventLoop))
+				new PollingPolicy(() -> GATEWAYS_POLL_INTERVAL, GATEWAYS_LONG_POLL_TIMEOUT, () -> MAXIMUM_RETRY_DELAY),
+				() -> false,
+				new AddressAnnouncement(this.address, this.fleetExchange.directory(), this.topics, this.eventLoop))
 			.start();
 		if (this.settings.reportsUsage() || this.settings.ordersEndpoints()) {
-			leaseFollower().start();
+			newLeaseFollower().start();
 		}
-		this.eventLoop.scheduleWithFixedDelay(this::tick, TICK.toMillis(), TICK.toMillis(), TimeUnit.MILLISECONDS);
-		this.fleet.start();
+		this.eventLoop.scheduleWithFixedDelay(this::tick, TICK_INTERVAL.toMillis(), TICK_INTERVAL.toMillis(),
+				TimeUnit.MILLISECONDS);
+		this.fleetExchange.start();
 	}
 
-	private TopicFollower leaseFollower() {
+	private TopicFollower newLeaseFollower() {
 		return new TopicFollower(Topic.LEASES, this.topics, this.eventLoop, this.clock,
-				new ReadPace(this::leasesInterval, Duration.ZERO, this::maximumRetryDelay), this.delegation::ofLease,
-				this.duties);
+				new PollingPolicy(this::leasePollInterval, Duration.ZERO, this::maximumRetryDelay),
+				this.readDelegation::delegatesLease, this.leaseHolderDuties);
 	}
 
-	private Duration leasesInterval() {
-		if (this.others.leaseHeld()) {
-			return LEASES_INTERVAL;
+	private Duration leasePollInterval() {
+		if (this.fleetView.leaseHeld()) {
+			return LEASE_POLL_INTERVAL;
 		}
-		return (this.others.aggregates() || this.duties.holds()) ? LEASES_INTERVAL_UNHELD : LEASES_INTERVAL_OTHERS;
+		return (this.fleetView.aggregates() || this.leaseHolderDuties.holdsLease()) ? UNHELD_LEASE_POLL_INTERVAL
+				: NON_AGGREGATOR_LEASE_POLL_INTERVAL;
 	}
 
-	// An aggregator passes on what it reads, so that the rest need not ask as often.
+	// An aggregator relays what it reads, so that the others need not read as often.
 	private Duration maximumRetryDelay() {
-		return this.others.aggregates() ? AGGREGATOR_RETRY_DELAY : MAXIMUM_RETRY_DELAY;
+		return this.fleetView.aggregates() ? AGGREGATOR_MAXIMUM_RETRY_DELAY : MAXIMUM_RETRY_DELAY;
 	}
 
 	private Collection<String> gateways() {
-		return this.fleet.gateways();
+		return this.fleetExchange.gateways();
 	}
 
 	private boolean endpointsCurrent() {
-		return this.state.endpointsCurrent(this.clock.nanos());
+		return this.sharedState.endpointsCurrent(this.clock.nanos());
 	}
 
-	private CallerLimits limits() {
+	private CallerLimits callerLimits() {
 		return (this.configuration != null) ? this.configuration.limits() : CallerLimits.DEFAULT;
 	}
 
 	private boolean ready() {
-		return !this.stopping && this.state.complete();
+		return !this.stopping && this.sharedState.complete();
 	}
 
-	private void configure(Configuration newest) {
-		this.configuration = newest;
-		this.endpoints.configure(newest);
-		this.duties.configure(newest);
-		this.flow.configure(newest);
+	private void configure(Configuration newConfiguration) {
+		this.configuration = newConfiguration;
+		this.endpoints.configure(newConfiguration);
+		this.leaseHolderDuties.configure(newConfiguration);
+		this.requestFlow.configure(newConfiguration);
 	}
 
-	private void received(InetSocketAddress sender, byte[] message) {
-		this.fleet.received(sender, message);
+	private void handleDatagram(InetSocketAddress sender, byte[] message) {
+		this.fleetExchange.handleDatagram(sender, message);
 	}
 
-	private void relayed(RelayedRecords records) {
-		this.state.relayed(records);
+	private void applyRelayed(RelayedRecords records) {
+		this.sharedState.applyRelayed(records);
 	}
 
 	private GatewayReport report() {
-		TrafficTotals traffic = new TrafficTotals(this.usage.counts(), this.flow.used(),
-				this.work.perService(this.clock.nanos()), loads(), this.rollouts.report(),
+		TrafficTotals traffic = new TrafficTotals(this.usage.counts(), this.requestFlow.used(),
+				this.demandEstimator.perService(this.clock.nanos()), endpointLoads(), this.rollouts.report(),
 				rateLimits(this.clock.nanos()));
-		return new GatewayReport(this.incarnation, this.settings.zone(), traffic, this.duties.holds(),
-				this.state.known());
+		return new GatewayReport(this.incarnation, this.settings.dataCenter(), traffic,
+				this.leaseHolderDuties.holdsLease(), this.sharedState.knownState());
 	}
 
-	private Map<EndpointId, EndpointLoad> loads() {
+	private Map<EndpointId, EndpointLoad> endpointLoads() {
 		Map<EndpointId, EndpointLoad> loads = new HashMap<>();
 		for (Endpoint endpoint : this.endpoints.all()) {
 			if (endpoint.inFlight() > 0) {
@@ -307,8 +318,8 @@
 		return limits;
 	}
 
-	private void readRateLimits(long now) {
-		this.others.rateLimits().forEach((id, limit) -> {
+	private void applyRateLimits(long now) {
+		this.fleetView.rateLimits().forEach((id, limit) -> {
 			Endpoint endpoint = this.endpoints.get(id);
 			Double requestsPerSecond = limit.requestsPerSecond();
 			if (endpoint != null
@@ -318,18 +329,18 @@
 		});
 	}
 
-	private void readOthers(long now) {
-		this.others = this.peerTable.view(now);
-		this.delegation.update(this.others);
-		this.flow.fleet(this.others.others() + 1, this.others.reachableShare());
-		this.placement.unreachable(this.others.unreachableDataCenters());
-		readRateLimits(now);
-		this.rollouts.decided(this.others.rollouts().rollouts(), now);
+	private void applyFleetView(long now) {
+		this.fleetView = this.peerTable.view(now);
+		this.readDelegation.update(this.fleetView);
+		this.requestFlow.fleet(this.fleetView.others() + 1, this.fleetView.reachableShare());
+		this.placementRule.unreachable(this.fleetView.unreachableDataCenters());
+		applyRateLimits(now);
+		this.rollouts.decided(this.fleetView.rollouts().rollouts(), now);
 		if (this.configuration != null) {
-			this.serving.noteVersions(this.configuration.serviceNames());
+			this.servingEndpoints.noteVersions(this.configuration.serviceNames());
 		}
 		for (Endpoint endpoint : this.endpoints.all()) {
-			EndpointLoad load = this.others.loads().getOrDefault(endpoint.id(), EndpointLoad.NONE);
+			EndpointLoad load = this.fleetView.loads().getOrDefault(endpoint.id(), EndpointLoad.NONE);
 			endpoint.others(load.inFlight(), load.pendingPrefillTokens());
 		}
 	}
@@ -337,41 +348,43 @@
 	private void tick() {
 		try {
 			long now = this.clock.nanos();
-			this.lag.ticked(now);
+			this.eventLoopLag.timerFired(now);
 			this.endpoints.expire(now).forEach((id) -> log.atInfo().addKeyValue("endpoint", id).log("endpoint gone"));
 			this.peerTable.expire(now);
-			readOthers(now);
-			this.state.compare(this.others.known(), now);
-			this.metrics.endpointsAge(this.state.endpointsAge(now));
+			applyFleetView(now);
+			this.sharedState.reconcile(this.fleetView.known(), now);
+			this.metrics.endpointsAge(this.sharedState.endpointsAge(now));
 			if (this.settings.reportsUsage() || this.settings.ordersEndpoints()) {
-				this.duties.tick();
+				this.leaseHolderDuties.tick();
 			}
-			this.metrics.nextTick();
+			this.metrics.replenishLogLines();
 			if (ready() != this.wasReady) {
 				this.wasReady = ready();
 				log.atInfo().addKeyValue("ready", this.wasReady).log("readiness changed");
 			}
 		}
 		catch (RuntimeException ex) {
-			// The timer would end for good; the next tick may well succeed.
+			// An exception would end the timer for good, although the next tick may
+			// succeed.
 			log.error("tick failed", ex);
 		}
 	}
 
 	/**
-	 * Stops in order: takes no new connections, lets requests end, closes what is idle.
-	 * Returns when that is done or the time is up.
+	 * Shuts down gracefully: stops accepting connections, lets requests complete and
+	 * closes idle connections. Returns when no connection remains or the time is up.
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public void stop() throws InterruptedException {
 		this.eventLoop.execute(() -> this.stopping = true);
-		new OrderlyStop(this.eventLoop, this.clock, this.callers, this.flow).run(this.settings.stopTime());
+		new GracefulShutdown(this.eventLoop, this.clock, this.callerServer, this.requestFlow)
+			.run(this.settings.stopTime());
 	}
 
 	/**
 	 * The clocks of a gateway.
 	 *
-	 * @param steady the clock that never jumps
+	 * @param steady the monotonic clock
 	 * @param wall the time of day
 	 */
 	public record Clocks(SteadyClock steady, InstantSource wall) {
@@ -380,8 +393,8 @@
 	/**
 	 * The ports to the platform.
 	 *
-	 * @param topics its store
-	 * @param duties the calls that one gateway makes for all
+	 * @param topics the store
+	 * @param duties the calls that one gateway makes for the whole fleet
 	 */
 	public record Ports(SharedTopics topics, Duties duties) {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayAddress.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayAddress.java
@@ -7,19 +7,20 @@
 import org.banyancove.program.SocketAddressText;
 
 /**
- * Where a gateway listens for the others, as its record in the gateways' topic states.
+ * The address at which a gateway listens for other gateways, as stored in its record of
+ * the gateways' topic.
  *
- * @param name its VM's name
- * @param address where it listens
+ * @param name the name of its VM
+ * @param address the socket address
  * @param dataCenter its data centre
- * @param processorShare its VM's processor share, in cores
+ * @param processorShare the processor share of its VM, in cores
  */
 record GatewayAddress(String name, InetSocketAddress address, DataCenterName dataCenter, double processorShare) {
 
-	private static final int FIELDS = 3;
+	private static final int FIELD_COUNT = 3;
 
 	/**
-	 * Writes the record's value.
+	 * Returns the value of the record.
 	 * @return the address, the data centre and the processor share
 	 */
 	String format() {
@@ -28,16 +29,16 @@
 	}
 
 	/**
-	 * Reads a record.
-	 * @param name its key
-	 * @param value its value
+	 * Parses a record.
+	 * @param name the key of the record
+	 * @param value the value of the record
 	 * @return the address
-	 * @throws IllegalArgumentException if the value has another form
+	 * @throws IllegalArgumentException if the value is malformed
 	 */
 	static GatewayAddress parse(String name, String value) {
 		String[] fields = value.split(" ", -1);
-		if (fields.length != FIELDS) {
-			throw new IllegalArgumentException("value must have " + FIELDS + " fields: '" + value + "'");
+		if (fields.length != FIELD_COUNT) {
+			throw new IllegalArgumentException("value must have " + FIELD_COUNT + " fields: '" + value + "'");
 		}
 		return new GatewayAddress(name, SocketAddressText.parseNumeric(fields[0]), new DataCenterName(fields[1]),
 				Double.parseDouble(fields[2]));
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayDirectory.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayDirectory.java
@@ -16,21 +16,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The gateways of the fleet, in groups.
+ * The gateways of the fleet, organized in groups.
  * <p>
- * In a small fleet each gateway is a group of its own, so that all report to each other
- * at once. In a large one that would take most of a small VM's processor time, and the
- * gateways of a data centre form a group. Within a group, those with the larger processor
- * share rank higher.
+ * In a small fleet each gateway is a group of its own, so that all gateways report to
+ * each other directly. In a large fleet that would take most of the processor time of a
+ * small VM; there, the gateways of a data centre form a group. Within a group, gateways
+ * with a larger processor share rank higher.
  */
 final class GatewayDirectory implements TopicFollower.Listener {
 
 	private static final Logger log = LoggerFactory.getLogger(GatewayDirectory.class);
 
-	/** The largest fleet in which each gateway is a group of its own. */
-	private static final int MAXIMUM_SMALL_FLEET = 16;
+	/** Size of the largest fleet in which each gateway is a group of its own. */
+	private static final int MAXIMUM_FULL_MESH_SIZE = 16;
 
-	private static final Comparator<GatewayAddress> RANK = Comparator.comparing(GatewayAddress::processorShare)
+	private static final Comparator<GatewayAddress> BY_RANK = Comparator.comparing(GatewayAddress::processorShare)
 		.reversed()
 		.thenComparing(GatewayAddress::name);
 
@@ -38,13 +38,13 @@
 
 	private final Map<String, GatewayAddress> gateways = new HashMap<>();
 
-	private final Map<InetSocketAddress, String> names = new HashMap<>();
+	private final Map<InetSocketAddress, String> namesByAddress = new HashMap<>();
 
 	private @Nullable Map<String, List<String>> groups;
 
 	/**
 	 * Creates the directory.
-	 * @param own this gateway, which is known before its record was written
+	 * @param own this gateway, which is listed before its record is written
 	 */
 	GatewayDirectory(GatewayAddress own) {
 		this.own = own;
@@ -67,45 +67,45 @@
 	}
 
 	private void put(GatewayAddress gateway) {
-		GatewayAddress before = this.gateways.put(gateway.name(), gateway);
-		if (before != null) {
-			this.names.remove(before.address(), gateway.name());
+		GatewayAddress previous = this.gateways.put(gateway.name(), gateway);
+		if (previous != null) {
+			this.namesByAddress.remove(previous.address(), gateway.name());
 		}
-		this.names.put(gateway.address(), gateway.name());
+		this.namesByAddress.put(gateway.address(), gateway.name());
 		this.groups = null;
 	}
 
-	// A process reads all addresses at its start; sorting after each one would take time
-	// that grows with the square of the fleet.
+	// A process reads all addresses at startup; sorting after each of them would take
+	// time that grows with the square of the fleet.
 	private Map<String, List<String>> membersByGroup() {
-		Map<String, List<String>> known = this.groups;
-		if (known == null) {
-			known = group();
-			this.groups = known;
+		Map<String, List<String>> cached = this.groups;
+		if (cached == null) {
+			cached = rankedGroups();
+			this.groups = cached;
 		}
-		return known;
+		return cached;
 	}
 
-	private Map<String, List<String>> group() {
+	private Map<String, List<String>> rankedGroups() {
 		List<GatewayAddress> ranked = new ArrayList<>(this.gateways.values());
-		ranked.sort(RANK);
-		Map<String, List<String>> members = new TreeMap<>();
+		ranked.sort(BY_RANK);
+		Map<String, List<String>> byGroup = new TreeMap<>();
 		for (GatewayAddress gateway : ranked) {
-			members.computeIfAbsent(groupOf(gateway), (group) -> new ArrayList<>()).add(gateway.name());
+			byGroup.computeIfAbsent(groupOf(gateway), (group) -> new ArrayList<>()).add(gateway.name());
 		}
-		return members;
+		return byGroup;
 	}
 
 	/**
-	 * Returns whether each gateway is a group of its own, and reports to all others.
-	 * @return whether it is
+	 * Returns whether each gateway is a group of its own and reports to all others.
+	 * @return whether the gateways form a full mesh
 	 */
-	boolean direct() {
-		return this.gateways.size() <= MAXIMUM_SMALL_FLEET;
+	boolean fullMesh() {
+		return this.gateways.size() <= MAXIMUM_FULL_MESH_SIZE;
 	}
 
 	private String groupOf(GatewayAddress gateway) {
-		return direct() ? gateway.name() : gateway.dataCenter().value();
+		return fullMesh() ? gateway.name() : gateway.dataCenter().value();
 	}
 
 	String ownGroup() {
@@ -117,9 +117,9 @@
 	}
 
 	/**
-	 * Returns the members of a group, the highest rank first.
-	 * @param group the group's name
-	 * @return the names of gateways
+	 * Returns the members of a group, in descending order of rank.
+	 * @param group the name of the group
+	 * @return the names of the gateways
 	 */
 	List<String> members(String group) {
 		return membersByGroup().getOrDefault(group, List.of());
@@ -138,8 +138,8 @@
 		return (gateway != null) ? gateway.address() : null;
 	}
 
-	@Nullable String nameAt(InetSocketAddress address) {
-		return this.names.get(address);
+	@Nullable String nameOf(InetSocketAddress address) {
+		return this.namesByAddress.get(address);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayMetrics.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayMetrics.java
@@ -13,26 +13,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts and logs what becomes of requests.
+ * Counts and logs the outcomes of requests.
  * <p>
- * A line a request, up to a bound a second; beyond it lines are dropped and counted, so
- * that logging cannot take the time that the requests need.
+ * Writes one line for each request, up to a limit per second. Further lines are dropped
+ * and counted, so that logging cannot consume the processor time that requests need.
  */
 final class GatewayMetrics implements RequestLog {
 
 	private static final Logger log = LoggerFactory.getLogger("org.banyancove.gateway.requests");
 
-	/** Lines a second: at 0.1 ms a line, 2 in 100 of half a core. */
-	private static final int MAXIMUM_LINES = 100;
+	/** Log lines per second: at 0.1 ms for each line, 2 % of half a core. */
+	private static final int MAXIMUM_LINES_PER_SECOND = 100;
 
-	/** There are five ticks a second. */
-	private static final int LINES_A_TICK = MAXIMUM_LINES / 5;
+	/** Log lines per tick; there are five ticks per second. */
+	private static final int LINES_PER_TICK = MAXIMUM_LINES_PER_SECOND / 5;
 
 	/**
-	 * From a tenth of the shortest target of interactive traffic to its longest deadline,
-	 * in s.
+	 * Bucket bounds in s, from a tenth of the shortest target of interactive traffic to
+	 * its longest deadline.
 	 */
-	private static final double[] BUCKETS = { 0.01, 0.025, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 15, 60 };
+	private static final double[] BUCKET_BOUNDS = { 0.01, 0.025, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 15, 60 };
 
 	private final Counter requests;
 
@@ -40,15 +40,15 @@
 
 	private final Counter droppedLines;
 
-	private final Histogram firstByte;
+	private final Histogram firstByteLatency;
 
-	private final Histogram whole;
+	private final Histogram requestDuration;
 
 	private final Gauge endpointsAge;
 
-	private int linesLeft = MAXIMUM_LINES;
+	private int availableLines = MAXIMUM_LINES_PER_SECOND;
 
-	private long dropped;
+	private long unreportedDrops;
 
 	GatewayMetrics(PrometheusRegistry registry) {
 		this.requests = Counter.builder()
@@ -64,17 +64,17 @@
 			.name("banyancove_dropped_log_lines_total")
 			.help("Log lines left out to bound their volume")
 			.register(registry);
-		this.firstByte = Histogram.builder()
+		this.firstByteLatency = Histogram.builder()
 			.name("banyancove_first_byte_seconds")
 			.help("From a request's arrival to the first byte of its answer")
 			.classicOnly()
-			.classicUpperBounds(BUCKETS)
+			.classicUpperBounds(BUCKET_BOUNDS)
 			.register(registry);
-		this.whole = Histogram.builder()
+		this.requestDuration = Histogram.builder()
 			.name("banyancove_request_seconds")
 			.help("From a request's arrival to its end")
 			.classicOnly()
-			.classicUpperBounds(BUCKETS)
+			.classicUpperBounds(BUCKET_BOUNDS)
 			.register(registry);
 		this.endpointsAge = Gauge.builder()
 			.name("banyancove_endpoints_age_seconds")
@@ -86,29 +86,29 @@
 		this.endpointsAge.set(age.toNanos() / 1e9);
 	}
 
-	/** Gives back a tick's part of the bound on lines. */
-	void nextTick() {
-		this.linesLeft = Math.min(MAXIMUM_LINES, this.linesLeft + LINES_A_TICK);
-		if (this.dropped > 0) {
-			log.atWarn().addKeyValue("lines", this.dropped).log("lines dropped");
-			this.dropped = 0;
+	/** Replenishes the log lines of one tick and reports dropped lines. */
+	void replenishLogLines() {
+		this.availableLines = Math.min(MAXIMUM_LINES_PER_SECOND, this.availableLines + LINES_PER_TICK);
+		if (this.unreportedDrops > 0) {
+			log.atWarn().addKeyValue("lines", this.unreportedDrops).log("lines dropped");
+			this.unreportedDrops = 0;
 		}
 	}
 
-	private boolean mayLog() {
-		if (this.linesLeft <= 0) {
-			this.dropped++;
+	private boolean tryAcquireLine() {
+		if (this.availableLines <= 0) {
+			this.unreportedDrops++;
 			this.droppedLines.inc();
 			return false;
 		}
-		this.linesLeft--;
+		this.availableLines--;
 		return true;
 	}
 
 	@Override
 	public void rejected(RejectionFacts facts) {
 		this.requests.labelValues(facts.kind().code()).inc();
-		if (mayLog()) {
+		if (tryAcquireLine()) {
 			log.atInfo()
 				.addKeyValue("requestId", facts.requestId())
 				.addKeyValue("error", facts.kind().code())
@@ -124,7 +124,7 @@
 	@Override
 	public void attemptFailed(AttemptFacts attempt, String reason) {
 		this.failedAttempts.inc();
-		if (mayLog()) {
+		if (tryAcquireLine()) {
 			log.atInfo()
 				.addKeyValue("requestId", attempt.requestId())
 				.addKeyValue("endpoint", attempt.endpoint())
@@ -139,11 +139,11 @@
 	@Override
 	public void ended(RequestFacts facts) {
 		this.requests.labelValues(facts.outcome()).inc();
-		this.whole.observe(facts.elapsed().toNanos() / 1e9);
+		this.requestDuration.observe(facts.elapsed().toNanos() / 1e9);
 		if (facts.untilFirst() != null) {
-			this.firstByte.observe(facts.untilFirst().toNanos() / 1e9);
+			this.firstByteLatency.observe(facts.untilFirst().toNanos() / 1e9);
 		}
-		if (mayLog()) {
+		if (tryAcquireLine()) {
 			log.atInfo()
 				.addKeyValue("requestId", facts.requestId())
 				.addKeyValue("route", facts.route())
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewaySettings.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewaySettings.java
@@ -11,26 +11,26 @@
 /**
  * The settings of a gateway.
  *
- * @param name the VM's name, unique among gateways
- * @param zone its data centre
- * @param callers where it listens for callers
- * @param readiness where it reports whether it accepts requests
- * @param metrics where it serves metrics, or {@code null}
- * @param peers where it listens for the other gateways
- * @param retryLimits what all gateways may send again
- * @param lease the length of the lease of the shared duties
+ * @param name the name of the VM, unique among gateways
+ * @param dataCenter the data centre of the VM
+ * @param callers the address for connections of callers
+ * @param readiness the address of the readiness check
+ * @param metrics the address of the metrics, or {@code null} for none
+ * @param peers the address for datagrams of other gateways
+ * @param retryLimits the limits of retries of the whole fleet
+ * @param lease the duration of the lease of the shared duties
  * @param usageWindow the length of a window of the usage report
- * @param reportsUsage whether usage is to be reported
- * @param ordersEndpoints whether endpoints are to be ordered
- * @param stopTime from the signal to stop to being killed
- * @param exposureLimits how many requests an unproven version may get
- * @param processorShare the VM's processor share, in cores
+ * @param reportsUsage whether this gateway may report usage
+ * @param ordersEndpoints whether this gateway may order endpoints
+ * @param stopTime the time from the termination signal to the forced termination
+ * @param exposureLimits the limits of requests to an unproven version
+ * @param processorShare the processor share of the VM, in cores
  * @param changeDeadline the time within which a change in the store must be in force
  */
-public record GatewaySettings(String name, DataCenterName zone, InetSocketAddress callers, InetSocketAddress readiness,
-		@Nullable InetSocketAddress metrics, InetSocketAddress peers, RetryLimits retryLimits, Duration lease,
-		Duration usageWindow, boolean reportsUsage, boolean ordersEndpoints, Duration stopTime,
-		ExposureLimits exposureLimits, double processorShare, Duration changeDeadline) {
+public record GatewaySettings(String name, DataCenterName dataCenter, InetSocketAddress callers,
+		InetSocketAddress readiness, @Nullable InetSocketAddress metrics, InetSocketAddress peers,
+		RetryLimits retryLimits, Duration lease, Duration usageWindow, boolean reportsUsage, boolean ordersEndpoints,
+		Duration stopTime, ExposureLimits exposureLimits, double processorShare, Duration changeDeadline) {
 
 	/**
 	 * Creates the settings.
--- /dev/null
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseHolderDuties.java
@@ -0,0 +1,191 @@
+package org.banyancove.gateway.daemon;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.time.InstantSource;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+import org.banyancove.gateway.configuration.Configuration;
+import org.banyancove.gateway.duty.LeaseKeeper;
+import org.banyancove.gateway.duty.LeaseRecord;
+import org.banyancove.gateway.duty.PeerTable;
+import org.banyancove.gateway.duty.UsageCounter;
+import org.banyancove.gateway.duty.UsagePlan;
+import org.banyancove.gateway.duty.UsageReport;
+import org.banyancove.gateway.rollout.Rollout;
+import org.banyancove.gateway.shared.AppendOutcome;
+import org.banyancove.gateway.shared.Duties;
+import org.banyancove.gateway.shared.SharedTopics;
+import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.Topic;
+import org.banyancove.gateway.shared.TopicRecord;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Acquires and renews the lease of the shared duties, and performs them while this
+ * gateway holds it.
+ */
+final class LeaseHolderDuties implements TopicFollower.Listener {
+
+	private static final Logger log = LoggerFactory.getLogger(LeaseHolderDuties.class);
+
+	private static final String LEASE_KEY = "duties";
+
+	/**
+	 * Difference between the progress of the time of day and that of the steady clock
+	 * above which this process counts as paused; the steady clock alone may not show a
+	 * pause.
+	 */
+	private static final Duration MAXIMUM_CLOCK_DRIFT = Duration.ofMillis(400);
+
+	private final SharedTopics topics;
+
+	private final Duties duties;
+
+	private final SteadyClock clock;
+
+	private final InstantSource wallClock;
+
+	private final LeaseRecordCodec codec = new LeaseRecordCodec();
+
+	private final LeaseKeeper leaseKeeper;
+
+	private final UsagePlan usagePlan;
+
+	private final PeerTable peerTable;
+
+	private final EndpointAutoscaler autoscaler;
+
+	private final RolloutExecutor rolloutExecutor;
+
+	private final Set<Long> acknowledgedWindows = new HashSet<>();
+
+	private final Set<Long> pendingWindows = new HashSet<>();
+
+	private List<UsageReport> persistedReports = List.of();
+
+	private Instant lastWallTime;
+
+	private long lastSteadyNanos;
+
+	private boolean previouslyHeld;
+
+	LeaseHolderDuties(SharedTopics topics, Duties duties, SteadyClock clock, InstantSource wallClock,
+			LeaseKeeper leaseKeeper, UsageCounter usage, PeerTable peerTable, EndpointAutoscaler autoscaler,
+			RolloutExecutor rolloutExecutor) {
+		this.topics = topics;
+		this.duties = duties;
+		this.clock = clock;
+		this.wallClock = wallClock;
+		this.leaseKeeper = leaseKeeper;
+		this.peerTable = peerTable;
+		this.autoscaler = autoscaler;
+		this.rolloutExecutor = rolloutExecutor;
+		this.usagePlan = new UsagePlan(usage, wallClock.instant());
+		this.lastWallTime = wallClock.instant();
+		this.lastSteadyNanos = clock.nanos();
+	}
+
+	@Override
+	public void changed(TopicRecord entry) {
+		if (entry.value() == null) {
+			return;
+		}
+		try {
+			LeaseRecord record = this.codec.read(entry.value());
+			this.leaseKeeper.read(record, this.clock.nanos());
+			this.persistedReports = this.leaseKeeper.reports();
+		}
+		catch (RuntimeException ex) {
+			log.atError()
+				.addKeyValue("offset", entry.offset())
+				.addKeyValue("cause", ex.toString())
+				.log("lease unreadable");
+		}
+	}
+
+	@Override
+	public void readThrough(long nextOffset) {
+		this.leaseKeeper.ends(nextOffset);
+	}
+
+	void configure(Configuration configuration) {
+		this.autoscaler.configure(configuration);
+	}
+
+	boolean holdsLease() {
+		return this.leaseKeeper.holds(this.clock.nanos());
+	}
+
+	void tick() {
+		long now = this.clock.nanos();
+		releaseAfterPause(now);
+		boolean holds = this.leaseKeeper.holds(now);
+		if (holds != this.previouslyHeld) {
+			this.previouslyHeld = holds;
+			log.atInfo().addKeyValue("fence", this.leaseKeeper.fence()).log(holds ? "lease taken" : "lease lost");
+		}
+		renew(now, holds);
+		if (holds) {
+			this.persistedReports.forEach(this::sendReport);
+			this.autoscaler.tick(this.leaseKeeper.fence(), now);
+			this.rolloutExecutor.tick(this.leaseKeeper.fence(), this.leaseKeeper.rollouts(), now);
+		}
+	}
+
+	private void releaseAfterPause(long now) {
+		Instant wallTime = this.wallClock.instant();
+		Duration drift = Duration.between(this.lastWallTime, wallTime).minusNanos(now - this.lastSteadyNanos).abs();
+		this.lastWallTime = wallTime;
+		this.lastSteadyNanos = now;
+		if (drift.compareTo(MAXIMUM_CLOCK_DRIFT) > 0) {
+			log.atWarn().addKeyValue("driftMs", drift.toMillis()).log("clock moved");
+			this.leaseKeeper.stoodStill(now);
+		}
+	}
+
+	private void renew(long now, boolean holds) {
+		List<UsageReport> recordedReports = this.leaseKeeper.reports();
+		List<UsageReport> reports = holds ? this.usagePlan.toName(recordedReports, this.wallClock.instant(),
+				(window) -> new UsageReport(window, this.peerTable.counted(window))) : recordedReports;
+		List<Rollout> rollouts = holds ? this.rolloutExecutor.rolloutsToPersist() : this.leaseKeeper.rollouts();
+		boolean urgent = !reports.equals(recordedReports) || !rollouts.equals(this.leaseKeeper.rollouts());
+		LeaseRecord renewal = this.leaseKeeper.toAppend(reports, rollouts, urgent, now);
+		if (renewal == null) {
+			return;
+		}
+		this.topics.appendAt(Topic.LEASES, LEASE_KEY, this.codec.write(renewal), this.leaseKeeper.expectedEnd())
+			.whenComplete((outcome, failure) -> {
+				switch (outcome) {
+					case AppendOutcome.Appended appended -> {
+						this.leaseKeeper.appended(renewal, appended.offset(), this.clock.nanos());
+						this.persistedReports = this.leaseKeeper.reports();
+					}
+					case AppendOutcome.Moved moved -> this.leaseKeeper.notAppended(renewal);
+					case null -> this.leaseKeeper.notAppended(renewal);
+				}
+			});
+	}
+
+	private void sendReport(UsageReport report) {
+		long window = report.window();
+		if (this.acknowledgedWindows.contains(window) || !this.pendingWindows.add(window)) {
+			return;
+		}
+		this.duties.reportUsage(this.leaseKeeper.fence(), window, report.counts()).whenComplete((accepted, failure) -> {
+			this.pendingWindows.remove(window);
+			if (Boolean.TRUE.equals(accepted)) {
+				this.acknowledgedWindows.add(window);
+			}
+			log.atInfo()
+				.addKeyValue("window", window)
+				.addKeyValue("taken", accepted)
+				.addKeyValue("cause", (failure != null) ? failure.toString() : null)
+				.log("usage reported");
+		});
+	}
+
+}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseRecordCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseRecordCodec.java
@@ -85,7 +85,8 @@
 			return this.mapper.readTree(value);
 		}
 		catch (IOException ex) {
-			throw new BanyancoveException(ErrorKind.MALFORMED_REQUEST, "record is no JSON: " + ex.getMessage(), ex);
+			throw new BanyancoveException(ErrorKind.MALFORMED_REQUEST, "record is not valid JSON: " + ex.getMessage(),
+					ex);
 		}
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerChannel.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerChannel.java
@@ -19,14 +19,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends and receives datagrams of the other gateways.
+ * Sends and receives the datagrams between gateways.
  */
 final class PeerChannel implements PeerTransport {
 
 	private static final Logger log = LoggerFactory.getLogger(PeerChannel.class);
 
-	/** The most that a datagram holds; one cut short could not be read. */
-	private static final int MAXIMUM_BYTES = 32 * 1024;
+	/** Maximum size of a datagram; a truncated one cannot be decoded. */
+	private static final int MAXIMUM_DATAGRAM_BYTES = 32 * 1024;
 
 	private final BiConsumer<InetSocketAddress, byte[]> receiver;
 
@@ -34,7 +34,7 @@
 
 	/**
 	 * Creates the channel.
-	 * @param receiver consumes the sender and content of each datagram
+	 * @param receiver receives the sender and the content of each datagram
 	 */
 	PeerChannel(BiConsumer<InetSocketAddress, byte[]> receiver) {
 		this.receiver = receiver;
@@ -43,7 +43,7 @@
 	void listen(EventLoopGroup eventLoops, InetSocketAddress address) throws InterruptedException {
 		this.channel = new Bootstrap().group(eventLoops)
 			.channel(NioDatagramChannel.class)
-			.option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAXIMUM_BYTES))
+			.option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAXIMUM_DATAGRAM_BYTES))
 			.handler(new DatagramHandler())
 			.bind(address)
 			.sync()
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Receives the others' datagrams.
+	 * Receives the datagrams of other gateways.
 	 */
 	private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
@@ -76,7 +76,7 @@
 
 		@Override
 		public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-			// A peer that is gone makes the system report an error; the next message may
+			// The system reports an error for a peer that is gone; the next message may
 			// reach it.
 			log.debug("datagram failed: {}", cause.toString());
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessage.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessage.java
@@ -4,20 +4,22 @@
 import org.banyancove.gateway.duty.GatewayReport;
 
 /**
- * What gateways send each other as datagrams.
+ * A message between gateways, sent as a datagram.
  */
 sealed interface PeerMessage {
 
 	/**
-	 * A gateway reports to an aggregator of its group, or in a small fleet to any other.
+	 * A report of a gateway to the aggregators of its group, or in a small fleet to all
+	 * other gateways.
 	 *
-	 * @param report its report
+	 * @param report the report
 	 */
 	record Report(GatewayReport report) implements PeerMessage {
 	}
 
 	/**
-	 * An aggregator reports its group to the other groups, or the fleet to its group.
+	 * A summary of an aggregator: of its group to the other groups, or of the fleet to
+	 * the members of its group.
 	 *
 	 * @param summary the summary
 	 */
@@ -25,11 +27,11 @@
 	}
 
 	/**
-	 * A gateway that reads the store passes on what changed.
+	 * Changed records that a gateway read from the store and relays.
 	 *
-	 * @param relayed the records
+	 * @param records the records
 	 */
-	record Relay(RelayedRecords relayed) implements PeerMessage {
+	record Relay(RelayedRecords records) implements PeerMessage {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessageCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessageCodec.java
@@ -16,8 +16,8 @@
 import org.banyancove.gateway.duty.KnownState;
 
 /**
- * Writes and reads what gateways send each other, in binary form: as JSON, reading it
- * takes a large part of a small VM's processor time.
+ * Writes and reads the messages between gateways, in binary form: parsing them as JSON
+ * would take a large part of the processor time of a small VM.
  */
 final class PeerMessageCodec {
 
@@ -36,7 +36,7 @@
 			case PeerMessage.Summary summary -> write(out, summary.summary());
 			case PeerMessage.Relay relay -> {
 				out.writeByte(RELAY);
-				RelayedRecordsCodec.write(out, relay.relayed());
+				RelayedRecordsCodec.write(out, relay.records());
 			}
 		}
 		return ByteBufUtil.getBytes(out);
@@ -47,7 +47,7 @@
 		out.writeLong(report.incarnation());
 		BinaryFields.writeText(out, report.dataCenter().value());
 		out.writeBoolean(report.holdsLease());
-		writeKnown(out, report.known());
+		writeKnownState(out, report.known());
 		TrafficTotalsCodec.write(out, report.traffic());
 	}
 
@@ -58,32 +58,32 @@
 		out.writeBoolean(group != null);
 		BinaryFields.writeText(out, (group != null) ? group : "");
 		out.writeLong(summary.leaseHolder());
-		writeKnown(out, summary.known());
-		BinaryFields.writeNumber(out, summary.readers().size());
+		writeKnownState(out, summary.known());
+		BinaryFields.writeVarint(out, summary.readers().size());
 		summary.readers().forEach(out::writeLong);
-		BinaryFields.writeNumber(out, summary.presence().size());
-		for (DataCenterPresence part : summary.presence()) {
-			BinaryFields.writeText(out, part.dataCenter().value());
-			BinaryFields.writeNumber(out, part.gateways());
-			BinaryFields.writeNumber(out, part.reachable());
-			out.writeBoolean(part.responding());
+		BinaryFields.writeVarint(out, summary.presence().size());
+		for (DataCenterPresence presence : summary.presence()) {
+			BinaryFields.writeText(out, presence.dataCenter().value());
+			BinaryFields.writeVarint(out, presence.gateways());
+			BinaryFields.writeVarint(out, presence.reachable());
+			out.writeBoolean(presence.responding());
 		}
 		TrafficTotalsCodec.write(out, summary.traffic());
 	}
 
-	private static void writeKnown(ByteBuf out, KnownState known) {
-		out.writeBoolean(known.reads());
-		out.writeLong(known.endpointsNext());
-		out.writeLong(known.endpointsDigest());
-		BinaryFields.writeNumber(out, known.endpointsAge().toMillis());
-		out.writeLong(known.configurationOffset());
+	private static void writeKnownState(ByteBuf out, KnownState knownState) {
+		out.writeBoolean(knownState.reads());
+		out.writeLong(knownState.endpointsNext());
+		out.writeLong(knownState.endpointsDigest());
+		BinaryFields.writeVarint(out, knownState.endpointsAge().toMillis());
+		out.writeLong(knownState.configurationOffset());
 	}
 
 	/**
 	 * Reads a message.
-	 * @param datagram the datagram
+	 * @param datagram the content of the datagram
 	 * @return the message
-	 * @throws BanyancoveException if it cannot be read
+	 * @throws BanyancoveException if the datagram cannot be decoded
 	 */
 	PeerMessage read(byte[] datagram) {
 		ByteBuf in = Unpooled.wrappedBuffer(datagram);
@@ -105,38 +105,38 @@
 		long incarnation = in.readLong();
 		DataCenterName dataCenter = new DataCenterName(BinaryFields.readText(in));
 		boolean holdsLease = in.readBoolean();
-		KnownState known = readKnown(in);
-		return new GatewayReport(incarnation, dataCenter, TrafficTotalsCodec.read(in), holdsLease, known);
+		KnownState knownState = readKnownState(in);
+		return new GatewayReport(incarnation, dataCenter, TrafficTotalsCodec.read(in), holdsLease, knownState);
 	}
 
 	private static FleetSummary readSummary(ByteBuf in) {
 		long incarnation = in.readLong();
-		boolean ofGroup = in.readBoolean();
+		boolean hasGroup = in.readBoolean();
 		String group = BinaryFields.readText(in);
 		long leaseHolder = in.readLong();
-		KnownState known = readKnown(in);
+		KnownState knownState = readKnownState(in);
 		List<Long> readers = new ArrayList<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			readers.add(in.readLong());
 		}
 		List<DataCenterPresence> presence = new ArrayList<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			presence.add(readPresence(in));
 		}
-		return new FleetSummary(incarnation, ofGroup ? group : null, presence, TrafficTotalsCodec.read(in), leaseHolder,
-				known, readers);
+		return new FleetSummary(incarnation, hasGroup ? group : null, presence, TrafficTotalsCodec.read(in),
+				leaseHolder, knownState, readers);
 	}
 
 	private static DataCenterPresence readPresence(ByteBuf in) {
 		DataCenterName dataCenter = new DataCenterName(BinaryFields.readText(in));
-		int gateways = Math.toIntExact(BinaryFields.readNumber(in));
-		int reachable = Math.toIntExact(BinaryFields.readNumber(in));
+		int gateways = Math.toIntExact(BinaryFields.readVarint(in));
+		int reachable = Math.toIntExact(BinaryFields.readVarint(in));
 		return new DataCenterPresence(dataCenter, gateways, reachable, in.readBoolean());
 	}
 
-	private static KnownState readKnown(ByteBuf in) {
+	private static KnownState readKnownState(ByteBuf in) {
 		return new KnownState(in.readBoolean(), in.readLong(), in.readLong(),
-				Duration.ofMillis(BinaryFields.readNumber(in)), in.readLong());
+				Duration.ofMillis(BinaryFields.readVarint(in)), in.readLong());
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerTransport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerTransport.java
@@ -3,18 +3,18 @@
 import java.net.InetSocketAddress;
 
 /**
- * Sends messages to other gateways, which may be lost.
+ * Sends messages to other gateways, without guaranteed delivery.
  */
 interface PeerTransport {
 
 	/**
-	 * Queues a message, which {@link #flush()} sends.
-	 * @param address where to
-	 * @param message its content
+	 * Queues a message until {@link #flush()} is called.
+	 * @param address the destination
+	 * @param message the content
 	 */
 	void write(InetSocketAddress address, byte[] message);
 
-	/** Sends what is queued. */
+	/** Sends the queued messages. */
 	void flush();
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RelayedRecords.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RelayedRecords.java
@@ -7,14 +7,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Records that changed something, as one gateway read them and passes them on.
+ * Changed records that a gateway read from the store and relays to others.
  *
- * @param topic the topic
+ * @param topic the topic of the records
  * @param records the records
- * @param outageMillis how long ago the store failed its reader last, in ms, or
- * {@code null} if it never did
+ * @param millisSinceFailure the time since the last failed read of the gateway that read
+ * the records, in ms, or {@code null} if none failed
  */
-record RelayedRecords(Topic topic, List<TopicRecord> records, @Nullable Long outageMillis) {
+record RelayedRecords(Topic topic, List<TopicRecord> records, @Nullable Long millisSinceFailure) {
 
 	/**
 	 * Creates the message.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RelayedRecordsCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RelayedRecordsCodec.java
@@ -17,16 +17,18 @@
 import org.banyancove.gateway.shared.TopicRecord;
 
 /**
- * Writes and reads records that are passed on, compressed.
+ * Writes and reads relayed records in compressed form.
  * <p>
  * When all endpoints of a service change at once, a gateway sends their records to many
- * others. The records are alike; uncompressed they would fill a small VM's link for
- * seconds, and requests would wait behind them.
+ * others. The records are similar to each other; uncompressed they would saturate the
+ * link of a small VM for seconds and delay requests.
  */
 final class RelayedRecordsCodec {
 
-	/** More than any list of records holds that fits into a datagram. */
-	private static final int MAXIMUM_BYTES = 512 * 1024;
+	/**
+	 * Maximum decompressed size, more than any list of records that fits into a datagram.
+	 */
+	private static final int MAXIMUM_DECOMPRESSED_BYTES = 512 * 1024;
 
 	private static final int INITIAL_BYTES = 4096;
 
@@ -34,27 +36,27 @@
 	}
 
 	static void write(ByteBuf out, RelayedRecords relayed) {
-		ByteBuf plain = Unpooled.buffer(INITIAL_BYTES);
-		BinaryFields.writeText(plain, relayed.topic().name());
-		Long outage = relayed.outageMillis();
-		plain.writeBoolean(outage != null);
-		BinaryFields.writeNumber(plain, (outage != null) ? outage : 0);
-		BinaryFields.writeNumber(plain, relayed.records().size());
+		ByteBuf uncompressed = Unpooled.buffer(INITIAL_BYTES);
+		BinaryFields.writeText(uncompressed, relayed.topic().name());
+		Long millisSinceFailure = relayed.millisSinceFailure();
+		uncompressed.writeBoolean(millisSinceFailure != null);
+		BinaryFields.writeVarint(uncompressed, (millisSinceFailure != null) ? millisSinceFailure : 0);
+		BinaryFields.writeVarint(uncompressed, relayed.records().size());
 		for (TopicRecord entry : relayed.records()) {
-			BinaryFields.writeNumber(plain, entry.offset());
-			BinaryFields.writeText(plain, entry.key());
+			BinaryFields.writeVarint(uncompressed, entry.offset());
+			BinaryFields.writeText(uncompressed, entry.key());
 			byte[] value = entry.value();
-			plain.writeBoolean(value != null);
-			BinaryFields.writeBytes(plain, (value != null) ? value : new byte[0]);
+			uncompressed.writeBoolean(value != null);
+			BinaryFields.writeBytes(uncompressed, (value != null) ? value : new byte[0]);
 		}
-		out.writeBytes(compress(ByteBufUtil.getBytes(plain)));
+		out.writeBytes(compress(ByteBufUtil.getBytes(uncompressed)));
 	}
 
-	private static byte[] compress(byte[] plain) {
+	private static byte[] compress(byte[] uncompressed) {
 		ByteArrayOutputStream compressed = new ByteArrayOutputStream();
 		Deflater deflater = new Deflater(Deflater.BEST_SPEED);
 		try (DeflaterOutputStream out = new DeflaterOutputStream(compressed, deflater)) {
-			out.write(plain);
+			out.write(uncompressed);
 		}
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
@@ -66,28 +68,29 @@
 	}
 
 	static RelayedRecords read(ByteBuf in) {
-		ByteBuf plain = Unpooled.wrappedBuffer(decompress(in));
-		Topic topic = Topic.valueOf(BinaryFields.readText(plain));
-		boolean failed = plain.readBoolean();
-		long outage = BinaryFields.readNumber(plain);
+		ByteBuf uncompressed = Unpooled.wrappedBuffer(decompress(in));
+		Topic topic = Topic.valueOf(BinaryFields.readText(uncompressed));
+		boolean hasFailure = uncompressed.readBoolean();
+		long millisSinceFailure = BinaryFields.readVarint(uncompressed);
 		List<TopicRecord> records = new ArrayList<>();
-		for (int left = BinaryFields.readCount(plain); left > 0; left--) {
-			long offset = BinaryFields.readNumber(plain);
-			String key = BinaryFields.readText(plain);
-			boolean present = plain.readBoolean();
-			byte[] value = BinaryFields.readBytes(plain);
+		for (int remaining = BinaryFields.readCount(uncompressed); remaining > 0; remaining--) {
+			long offset = BinaryFields.readVarint(uncompressed);
+			String key = BinaryFields.readText(uncompressed);
+			boolean present = uncompressed.readBoolean();
+			byte[] value = BinaryFields.readBytes(uncompressed);
 			records.add(new TopicRecord(offset, key, present ? value : null));
 		}
-		return new RelayedRecords(topic, records, failed ? outage : null);
+		return new RelayedRecords(topic, records, hasFailure ? millisSinceFailure : null);
 	}
 
 	private static byte[] decompress(ByteBuf in) {
 		try (InflaterInputStream inflater = new InflaterInputStream(new ByteBufInputStream(in))) {
-			byte[] plain = inflater.readNBytes(MAXIMUM_BYTES + 1);
-			if (plain.length > MAXIMUM_BYTES) {
-				throw new IllegalArgumentException("records must have at most " + MAXIMUM_BYTES + " bytes");
+			byte[] uncompressed = inflater.readNBytes(MAXIMUM_DECOMPRESSED_BYTES + 1);
+			if (uncompressed.length > MAXIMUM_DECOMPRESSED_BYTES) {
+				throw new IllegalArgumentException(
+						"records must have at most " + MAXIMUM_DECOMPRESSED_BYTES + " bytes");
 			}
-			return plain;
+			return uncompressed;
 		}
 		catch (IOException ex) {
 			throw new IllegalArgumentException("records cannot be decompressed: " + ex.getMessage(), ex);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutReportCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutReportCodec.java
@@ -17,7 +17,7 @@
 import org.banyancove.gateway.rollout.VersionSamples;
 
 /**
- * Writes and reads what gateways report of rollouts, in binary form.
+ * Writes and reads reports of rollouts in binary form.
  */
 final class RolloutReportCodec {
 
@@ -31,16 +31,16 @@
 	}
 
 	static void write(ByteBuf out, RolloutReport report) {
-		BinaryFields.writeNumber(out, report.rollouts().size());
+		BinaryFields.writeVarint(out, report.rollouts().size());
 		report.rollouts().forEach((rollout) -> write(out, rollout));
-		BinaryFields.writeNumber(out, report.samples().size());
+		BinaryFields.writeVarint(out, report.samples().size());
 		report.samples().forEach((key, count) -> {
-			BinaryFields.writeNumber(out, key.order());
+			BinaryFields.writeVarint(out, key.order());
 			BinaryFields.writeText(out, key.route());
 			out.writeBoolean(key.candidate());
-			BinaryFields.writeNumber(out, count.sent());
-			BinaryFields.writeNumber(out, count.answered());
-			BinaryFields.writeNumber(out, count.bad());
+			BinaryFields.writeVarint(out, count.sent());
+			BinaryFields.writeVarint(out, count.answered());
+			BinaryFields.writeVarint(out, count.bad());
 		});
 	}
 
@@ -48,8 +48,8 @@
 		RolloutOrder order = rollout.order();
 		BinaryFields.writeText(out, order.service().value());
 		BinaryFields.writeText(out, order.candidate());
-		BinaryFields.writeNumber(out, order.duration().toMillis());
-		BinaryFields.writeNumber(out, order.offset());
+		BinaryFields.writeVarint(out, order.duration().toMillis());
+		BinaryFields.writeVarint(out, order.offset());
 		BinaryFields.writeText(out, rollout.baseline());
 		out.writeLong(rollout.orderedAt().toEpochMilli());
 		out.writeLong(rollout.revision());
@@ -66,15 +66,15 @@
 
 	static RolloutReport read(ByteBuf in) {
 		List<Rollout> rollouts = new ArrayList<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			rollouts.add(readRollout(in));
 		}
 		Map<SampleKey, VersionSamples> samples = new HashMap<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
-			long order = BinaryFields.readNumber(in);
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
+			long order = BinaryFields.readVarint(in);
 			SampleKey key = new SampleKey(order, BinaryFields.readText(in), in.readBoolean());
-			samples.put(key, new VersionSamples(BinaryFields.readNumber(in), BinaryFields.readNumber(in),
-					BinaryFields.readNumber(in)));
+			samples.put(key, new VersionSamples(BinaryFields.readVarint(in), BinaryFields.readVarint(in),
+					BinaryFields.readVarint(in)));
 		}
 		return (rollouts.isEmpty() && samples.isEmpty()) ? RolloutReport.NONE : new RolloutReport(rollouts, samples);
 	}
@@ -82,8 +82,8 @@
 	private static Rollout readRollout(ByteBuf in) {
 		ServiceName service = new ServiceName(BinaryFields.readText(in));
 		String candidate = BinaryFields.readText(in);
-		Duration duration = Duration.ofMillis(BinaryFields.readNumber(in));
-		RolloutOrder order = new RolloutOrder(service, candidate, duration, BinaryFields.readNumber(in));
+		Duration duration = Duration.ofMillis(BinaryFields.readVarint(in));
+		RolloutOrder order = new RolloutOrder(service, candidate, duration, BinaryFields.readVarint(in));
 		String baseline = BinaryFields.readText(in);
 		Instant orderedAt = Instant.ofEpochMilli(in.readLong());
 		return new Rollout(order, baseline, orderedAt, in.readLong(), readStage(in));
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/StatusServer.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/StatusServer.java
@@ -25,7 +25,7 @@
 import org.banyancove.program.MetricsText;
 
 /**
- * Tells whether the process takes requests, and its metrics.
+ * Serves the readiness check and the metrics.
  */
 final class StatusServer {
 
@@ -58,12 +58,12 @@
 			.channel();
 	}
 
-	private FullHttpResponse answer(String path) {
+	private FullHttpResponse respond(String path) {
 		if (path.equals(METRICS_PATH)) {
-			FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
+			FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
 					Unpooled.copiedBuffer(this.metrics.text(), StandardCharsets.UTF_8));
-			answer.headers().set(HttpHeaderNames.CONTENT_TYPE, this.metrics.contentType());
-			return answer;
+			response.headers().set(HttpHeaderNames.CONTENT_TYPE, this.metrics.contentType());
+			return response;
 		}
 		return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				this.ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -71,22 +71,22 @@
 	}
 
 	/**
-	 * Answers one request after the other.
+	 * Responds to requests one by one.
 	 */
 	private final class StatusHandler extends SimpleChannelInboundHandler<HttpObject> {
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
 			if (message instanceof HttpRequest request) {
-				FullHttpResponse answer = answer(request.uri());
-				HttpUtil.setContentLength(answer, answer.content().readableBytes());
-				context.writeAndFlush(answer);
+				FullHttpResponse response = respond(request.uri());
+				HttpUtil.setContentLength(response, response.content().readableBytes());
+				context.writeAndFlush(response);
 			}
 		}
 
 		@Override
 		public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-			// The one who asked has gone; it will ask again.
+			// The client has closed the connection and will retry.
 			context.close();
 		}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TopicFollower.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TopicFollower.java
@@ -20,21 +20,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows a topic: reads the newest of each key once, then what changed.
+ * Follows a topic: reads the newest record of each key once, then the changes.
  * <p>
- * Each key's records are taken in the order of their offsets. A read that shows an older
- * state than is known changes nothing. Once the topic was read, reading may be left to
- * others that pass on what they read.
+ * The records of a key are applied in the order of their offsets; a read that returns an
+ * older state than the known one changes nothing. Once the topic was read, reading may be
+ * delegated to other gateways, which relay what they read.
  */
 final class TopicFollower {
 
 	private static final Logger log = LoggerFactory.getLogger(TopicFollower.class);
 
 	/**
-	 * How often it looks whether reading is still left to others: a part of the half
-	 * second within which they are missed.
+	 * Interval of checks whether reads are still delegated: a fraction of the half second
+	 * within which a missing reader must be noticed.
 	 */
-	private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
+	private static final Duration DELEGATION_CHECK_INTERVAL = Duration.ofMillis(100);
 
 	private final Topic topic;
 
@@ -44,84 +44,85 @@
 
 	private final SteadyClock clock;
 
-	private final ReadPace pace;
+	private final PollingPolicy pollingPolicy;
 
-	private final BooleanSupplier leftToOthers;
+	private final BooleanSupplier readsDelegated;
 
 	private final Listener listener;
 
 	private final Map<String, Long> offsets = new HashMap<>();
 
-	private long next = -1;
+	private long nextOffset = -1;
 
-	private long highest = -1;
+	private long highestOffset = -1;
 
-	private long askedAt;
+	private long requestedAt;
 
 	private @Nullable Long confirmedAt;
 
-	private long failedAt = Long.MIN_VALUE;
+	private long lastFailureAt = Long.MIN_VALUE;
 
-	private int failures;
+	private int consecutiveFailures;
 
 	private boolean complete;
 
-	private long readAt = Long.MIN_VALUE;
+	private long lastReadAt = Long.MIN_VALUE;
 
-	private boolean readAnew;
+	private boolean relistingRequested;
 
 	private boolean reading;
 
-	private @Nullable ScheduledFuture<?> nextStart;
+	private @Nullable ScheduledFuture<?> scheduledRead;
 
-	private Set<String> listed = new HashSet<>();
+	private Set<String> listedKeys = new HashSet<>();
 
-	private long listedEnd;
+	private long listedEndOffset;
 
-	TopicFollower(Topic topic, SharedTopics topics, EventLoop eventLoop, SteadyClock clock, ReadPace pace,
-			BooleanSupplier leftToOthers, Listener listener) {
+	TopicFollower(Topic topic, SharedTopics topics, EventLoop eventLoop, SteadyClock clock, PollingPolicy pollingPolicy,
+			BooleanSupplier readsDelegated, Listener listener) {
 		this.topic = topic;
 		this.topics = topics;
 		this.eventLoop = eventLoop;
 		this.clock = clock;
-		this.pace = pace;
-		this.leftToOthers = leftToOthers;
+		this.pollingPolicy = pollingPolicy;
+		this.readsDelegated = readsDelegated;
 		this.listener = listener;
 	}
 
 	void start() {
-		if (this.complete && !this.readAnew && this.leftToOthers.getAsBoolean()) {
-			// What changes meanwhile is passed on, record by record. Its own place in the
-			// topic grows old, so that it lists all anew when it reads again.
-			this.next = -1;
-			again(POLL_INTERVAL);
+		if (this.complete && !this.relistingRequested && this.readsDelegated.getAsBoolean()) {
+			// Changes are relayed record by record, so the position in the topic becomes
+			// outdated. The next own read therefore lists the topic again.
+			this.nextOffset = -1;
+			scheduleNextRead(DELEGATION_CHECK_INTERVAL);
 			return;
 		}
-		this.askedAt = this.clock.nanos();
+		this.requestedAt = this.clock.nanos();
 		this.reading = true;
-		if (this.next < 0 || this.readAnew) {
-			this.readAnew = false;
-			this.listed = new HashSet<>();
-			this.listedEnd = -1;
-			readListed(null);
+		if (this.nextOffset < 0 || this.relistingRequested) {
+			this.relistingRequested = false;
+			this.listedKeys = new HashSet<>();
+			this.listedEndOffset = -1;
+			readListing(null);
 		}
 		else {
-			this.topics.changes(this.topic, this.next, this.pace.hold()).whenComplete(this::readChanges);
+			this.topics.changes(this.topic, this.nextOffset, this.pollingPolicy.longPollTimeout())
+				.whenComplete(this::readChanges);
 		}
 	}
 
 	/**
-	 * Returns whether the whole topic was read once.
-	 * @return whether it was
+	 * Returns whether the topic was read completely at least once.
+	 * @return whether the initial listing is complete
 	 */
 	boolean complete() {
 		return this.complete;
 	}
 
 	/**
-	 * Returns the age of what is known: since the store was last asked for it, by this
-	 * gateway or by another that knows the same.
-	 * @param now the present time
+	 * Returns the age of the known state: the time since the store was last queried for
+	 * it, by this gateway or by another one with the same state.
+	 * @param now the current time
 	 * @return the age, or {@code null} if the topic was never read
 	 */
 	@Nullable Duration age(long now) {
@@ -129,36 +130,37 @@
 	}
 
 	/**
-	 * Records that what is known was all that the store had at some time.
-	 * @param at when the store was asked
+	 * Records that the known state was the complete state of the store at some time.
+	 * @param at when the store was queried
 	 */
-	void confirmed(long at) {
+	void confirm(long at) {
 		if (this.confirmedAt == null || at > this.confirmedAt) {
 			this.confirmedAt = at;
 		}
 	}
 
 	/**
-	 * Returns how long ago a read failed last.
-	 * @return the time, or {@code null} if none did
+	 * Returns the time since the last failed read.
+	 * @return the time, or {@code null} if no read failed
 	 */
-	@Nullable Duration sinceFailure() {
-		return (this.failedAt == Long.MIN_VALUE) ? null : Duration.ofNanos(this.clock.nanos() - this.failedAt);
+	@Nullable Duration timeSinceFailure() {
+		return (this.lastFailureAt == Long.MIN_VALUE) ? null
+				: Duration.ofNanos(this.clock.nanos() - this.lastFailureAt);
 	}
 
 	/**
-	 * Applies a record that another gateway read.
+	 * Applies a record that another gateway read and relayed.
 	 * @param entry the record
 	 */
-	void relayed(TopicRecord entry) {
+	void applyRelayed(TopicRecord entry) {
 		if (this.complete) {
-			take(entry);
+			apply(entry);
 		}
 	}
 
-	/** Lists the topic anew, since something that was passed on did not arrive. */
-	void readAnew() {
-		this.readAnew = true;
+	/** Requests a new listing of the topic, since a relayed record was lost. */
+	void requestRelisting() {
+		this.relistingRequested = true;
 	}
 
 	/** Reads the store now, unless a read is in progress. */
@@ -166,137 +168,143 @@
 		if (this.reading || !this.complete) {
 			return;
 		}
-		if (this.nextStart != null) {
-			this.nextStart.cancel(false);
+		if (this.scheduledRead != null) {
+			this.scheduledRead.cancel(false);
 		}
-		this.readAnew = this.next < 0 || this.leftToOthers.getAsBoolean();
+		this.relistingRequested = this.nextOffset < 0 || this.readsDelegated.getAsBoolean();
 		start();
 	}
 
 	/**
-	 * Returns when the store was asked by the read that is in progress.
-	 * @return the time, or {@code null} if none is in progress
+	 * Returns when the read in progress was sent to the store.
+	 * @return the time, or {@code null} if no read is in progress
 	 */
-	@Nullable Long unansweredSince() {
-		return this.reading ? Long.valueOf(this.askedAt) : null;
+	@Nullable Long pendingReadStartedAt() {
+		return this.reading ? Long.valueOf(this.requestedAt) : null;
 	}
 
 	/**
-	 * Returns the reads in a row that have failed since what is known was confirmed.
-	 * @return the number
+	 * Returns the number of consecutive reads that failed since the known state was
+	 * confirmed.
+	 * @return the number of reads
 	 */
 	int failuresSinceConfirmed() {
-		return (this.confirmedAt == null || this.failedAt > this.confirmedAt) ? this.failures : 0;
+		return (this.confirmedAt == null || this.lastFailureAt > this.confirmedAt) ? this.consecutiveFailures : 0;
 	}
 
 	/**
-	 * Returns whether it reads the store and did so of late.
-	 * @param within how late
-	 * @return whether it did
+	 * Returns whether the last read of the store succeeded and is recent.
+	 * @param maximumAge the maximum age of the last read
+	 * @return whether it is at most that old
 	 */
-	boolean readWithin(Duration within) {
-		return this.complete && this.failures == 0 && this.clock.nanos() - this.readAt < within.toNanos();
+	boolean hasReadWithin(Duration maximumAge) {
+		return this.complete && this.consecutiveFailures == 0
+				&& this.clock.nanos() - this.lastReadAt < maximumAge.toNanos();
 	}
 
 	/**
-	 * Returns up to where the topic is known, by its own reads or by others'.
+	 * Returns the offset up to which the topic is known, from own reads or relayed
+	 * records.
 	 * @return the offset of the next record
 	 */
-	long knownThrough() {
-		return Math.max(this.next, this.highest + 1);
+	long knownEndOffset() {
+		return Math.max(this.nextOffset, this.highestOffset + 1);
 	}
 
-	private void readListed(@Nullable String after) {
+	private void readListing(@Nullable String after) {
 		this.topics.newest(this.topic, after).whenComplete((page, failure) -> {
 			if (page == null) {
-				failed(failure);
+				readFailed(failure);
 				return;
 			}
-			succeeded();
-			if (this.listedEnd < 0) {
-				this.listedEnd = page.next();
+			readSucceeded();
+			if (this.listedEndOffset < 0) {
+				this.listedEndOffset = page.next();
 			}
 			for (TopicRecord entry : page.records()) {
-				this.listed.add(entry.key());
-				take(entry);
+				this.listedKeys.add(entry.key());
+				apply(entry);
 			}
 			if (page.more() != null) {
-				readListed(page.more());
+				readListing(page.more());
 			}
 			else {
-				endListing();
+				completeListing();
 			}
 		});
 	}
 
-	private void endListing() {
+	private void completeListing() {
 		for (String key : Set.copyOf(this.offsets.keySet())) {
-			if (!this.listed.contains(key) && this.offsets.getOrDefault(key, 0L) < this.listedEnd) {
-				this.listener.missing(key);
+			if (!this.listedKeys.contains(key) && this.offsets.getOrDefault(key, 0L) < this.listedEndOffset) {
+				this.listener.unlisted(key);
 			}
 		}
-		this.next = this.listedEnd;
+		this.nextOffset = this.listedEndOffset;
 		this.complete = true;
-		confirmed(this.askedAt);
-		this.listener.readThrough(this.next);
-		again(this.pace.interval().get());
+		confirm(this.requestedAt);
+		this.listener.readThrough(this.nextOffset);
+		scheduleNextRead(this.pollingPolicy.pollInterval().get());
 	}
 
 	private void readChanges(@Nullable TopicPage page, @Nullable Throwable failure) {
 		if (page == null) {
-			failed(failure);
+			readFailed(failure);
 			return;
 		}
-		succeeded();
+		readSucceeded();
 		if (page.historyLost()) {
-			log.atWarn().addKeyValue("topic", this.topic).addKeyValue("offset", this.next).log("history was dropped");
-			this.next = -1;
+			log.atWarn()
+				.addKeyValue("topic", this.topic)
+				.addKeyValue("offset", this.nextOffset)
+				.log("history was dropped");
+			this.nextOffset = -1;
 			start();
 			return;
 		}
-		page.records().forEach(this::take);
-		boolean more = page.next() > this.next;
-		this.next = page.next();
+		page.records().forEach(this::apply);
+		boolean more = page.next() > this.nextOffset;
+		this.nextOffset = page.next();
 		if (!more || page.more() == null) {
-			confirmed(this.askedAt);
+			confirm(this.requestedAt);
 		}
-		this.listener.readThrough(this.next);
-		again((more && page.more() != null) ? Duration.ZERO : this.pace.interval().get());
+		this.listener.readThrough(this.nextOffset);
+		scheduleNextRead((more && page.more() != null) ? Duration.ZERO : this.pollingPolicy.pollInterval().get());
 	}
 
-	private void take(TopicRecord entry) {
+	private void apply(TopicRecord entry) {
 		Long known = this.offsets.get(entry.key());
 		if (known != null && known >= entry.offset()) {
 			return;
 		}
 		this.offsets.put(entry.key(), entry.offset());
-		this.highest = Math.max(this.highest, entry.offset());
+		this.highestOffset = Math.max(this.highestOffset, entry.offset());
 		this.listener.changed(entry);
 	}
 
-	private void succeeded() {
-		this.readAt = this.clock.nanos();
-		if (this.failures > 0) {
-			this.failures = 0;
+	private void readSucceeded() {
+		this.lastReadAt = this.clock.nanos();
+		if (this.consecutiveFailures > 0) {
+			this.consecutiveFailures = 0;
 			log.atInfo().addKeyValue("topic", this.topic).log("store answers again");
 		}
 	}
 
-	private void failed(@Nullable Throwable failure) {
-		this.failedAt = this.clock.nanos();
-		this.failures++;
-		if (this.failures == 1) {
+	private void readFailed(@Nullable Throwable failure) {
+		this.lastFailureAt = this.clock.nanos();
+		this.consecutiveFailures++;
+		if (this.consecutiveFailures == 1) {
 			log.atWarn()
 				.addKeyValue("topic", this.topic)
 				.addKeyValue("cause", String.valueOf(failure))
 				.log("store lost");
 		}
-		again(this.pace.retryDelay(this.failures));
+		scheduleNextRead(this.pollingPolicy.retryDelay(this.consecutiveFailures));
 	}
 
-	private void again(Duration delay) {
+	private void scheduleNextRead(Duration delay) {
 		this.reading = false;
-		this.nextStart = this.eventLoop.schedule(this::start, delay.toMillis(), TimeUnit.MILLISECONDS);
+		this.scheduledRead = this.eventLoop.schedule(this::start, delay.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	/**
@@ -305,23 +313,23 @@
 	interface Listener {
 
 		/**
-		 * Receives a key's newest record.
+		 * Receives the newest record of a key.
 		 * @param entry the record
 		 */
 		void changed(TopicRecord entry);
 
 		/**
-		 * Called for a key that is no longer listed, though its end was not read.
+		 * Called for a key that is no longer listed although its removal was not read.
 		 * @param key the key
 		 */
-		default void missing(String key) {
+		default void unlisted(String key) {
 		}
 
 		/**
-		 * Called when the topic was read.
-		 * @param next the offset of the next record
+		 * Called when a listing or a read of changes is complete.
+		 * @param nextOffset the offset of the next record
 		 */
-		default void readThrough(long next) {
+		default void readThrough(long nextOffset) {
 		}
 
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TrafficTotalsCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TrafficTotalsCodec.java
@@ -17,8 +17,8 @@
 import org.banyancove.gateway.endpoint.ObservedRateLimit;
 
 /**
- * Writes and reads traffic totals in binary form. Names of client accounts stand once,
- * and figures follow by their place.
+ * Writes and reads traffic totals in binary form. The names of client accounts are
+ * written once, and the values of each window follow in the same order.
  */
 final class TrafficTotalsCodec {
 
@@ -27,20 +27,20 @@
 
 	static void write(ByteBuf out, TrafficTotals traffic) {
 		List<AccountName> accounts = accounts(traffic);
-		BinaryFields.writeNumber(out, accounts.size());
+		BinaryFields.writeVarint(out, accounts.size());
 		for (AccountName account : accounts) {
 			BinaryFields.writeText(out, account.value());
-			BinaryFields.writeNumber(out, Math.round(traffic.used().getOrDefault(account, 0.0)));
+			BinaryFields.writeVarint(out, Math.round(traffic.used().getOrDefault(account, 0.0)));
 		}
-		BinaryFields.writeNumber(out, traffic.counts().size());
+		BinaryFields.writeVarint(out, traffic.counts().size());
 		traffic.counts().forEach((window, counts) -> {
-			BinaryFields.writeNumber(out, window);
-			accounts.forEach((account) -> BinaryFields.writeNumber(out, counts.getOrDefault(account, 0L)));
+			BinaryFields.writeVarint(out, window);
+			accounts.forEach((account) -> BinaryFields.writeVarint(out, counts.getOrDefault(account, 0L)));
 		});
-		BinaryFields.writeNumber(out, traffic.work().size());
+		BinaryFields.writeVarint(out, traffic.work().size());
 		traffic.work().forEach((service, millis) -> {
 			BinaryFields.writeText(out, service.value());
-			BinaryFields.writeNumber(out, Math.round(millis));
+			BinaryFields.writeVarint(out, Math.round(millis));
 		});
 		writeLoads(out, traffic.loads());
 		RolloutReportCodec.write(out, traffic.rollouts());
@@ -48,22 +48,22 @@
 	}
 
 	private static void writeRateLimits(ByteBuf out, Map<EndpointId, ObservedRateLimit> limits) {
-		BinaryFields.writeNumber(out, limits.size());
+		BinaryFields.writeVarint(out, limits.size());
 		limits.forEach((endpoint, limit) -> {
 			BinaryFields.writeText(out, endpoint.value());
 			Double requestsPerSecond = limit.requestsPerSecond();
 			out.writeBoolean(requestsPerSecond != null);
 			out.writeDouble((requestsPerSecond != null) ? requestsPerSecond : 0);
-			BinaryFields.writeNumber(out, limit.age().toMillis());
+			BinaryFields.writeVarint(out, limit.age().toMillis());
 		});
 	}
 
 	private static void writeLoads(ByteBuf out, Map<EndpointId, EndpointLoad> loads) {
-		BinaryFields.writeNumber(out, loads.size());
+		BinaryFields.writeVarint(out, loads.size());
 		loads.forEach((endpoint, load) -> {
 			BinaryFields.writeText(out, endpoint.value());
-			BinaryFields.writeNumber(out, load.inFlight());
-			BinaryFields.writeNumber(out, load.pendingPrefillTokens());
+			BinaryFields.writeVarint(out, load.inFlight());
+			BinaryFields.writeVarint(out, load.pendingPrefillTokens());
 		});
 	}
 
@@ -76,39 +76,39 @@
 	static TrafficTotals read(ByteBuf in) {
 		List<AccountName> accounts = new ArrayList<>();
 		Map<AccountName, Double> used = new HashMap<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			AccountName account = new AccountName(BinaryFields.readText(in));
 			accounts.add(account);
-			used.put(account, (double) BinaryFields.readNumber(in));
+			used.put(account, (double) BinaryFields.readVarint(in));
 		}
 		Map<Long, Map<AccountName, Long>> counts = new HashMap<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
-			counts.put(BinaryFields.readNumber(in), readCounts(in, accounts));
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
+			counts.put(BinaryFields.readVarint(in), readCounts(in, accounts));
 		}
 		Map<ServiceName, Double> work = new HashMap<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
-			work.put(new ServiceName(BinaryFields.readText(in)), (double) BinaryFields.readNumber(in));
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
+			work.put(new ServiceName(BinaryFields.readText(in)), (double) BinaryFields.readVarint(in));
 		}
 		return new TrafficTotals(counts, used, work, readLoads(in), RolloutReportCodec.read(in), readRateLimits(in));
 	}
 
 	private static Map<EndpointId, ObservedRateLimit> readRateLimits(ByteBuf in) {
 		Map<EndpointId, ObservedRateLimit> limits = new HashMap<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			EndpointId endpoint = new EndpointId(BinaryFields.readText(in));
 			boolean limited = in.readBoolean();
 			double requestsPerSecond = in.readDouble();
 			limits.put(endpoint, new ObservedRateLimit(limited ? requestsPerSecond : null,
-					Duration.ofMillis(BinaryFields.readNumber(in))));
+					Duration.ofMillis(BinaryFields.readVarint(in))));
 		}
 		return limits;
 	}
 
 	private static Map<EndpointId, EndpointLoad> readLoads(ByteBuf in) {
 		Map<EndpointId, EndpointLoad> loads = new HashMap<>();
-		for (int left = BinaryFields.readCount(in); left > 0; left--) {
+		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			loads.put(new EndpointId(BinaryFields.readText(in)),
-					new EndpointLoad(Math.toIntExact(BinaryFields.readNumber(in)), BinaryFields.readNumber(in)));
+					new EndpointLoad(Math.toIntExact(BinaryFields.readVarint(in)), BinaryFields.readVarint(in)));
 		}
 		return loads;
 	}
@@ -116,7 +116,7 @@
 	private static Map<AccountName, Long> readCounts(ByteBuf in, List<AccountName> accounts) {
 		Map<AccountName, Long> counts = new HashMap<>();
 		for (AccountName account : accounts) {
-			long count = BinaryFields.readNumber(in);
+			long count = BinaryFields.readVarint(in);
 			if (count > 0) {
 				counts.put(account, count);
 			}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The gateway's process: what it follows in shared state, what it publishes, its timers
- * and its stop.
+ * The process of a gateway: shared state, exchange between gateways, duties of the lease
+ * holder, metrics and shutdown.
  */
 @NullMarked
 package org.banyancove.gateway.daemon;
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/AddressAnnouncementTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/AddressAnnouncementTests.java
@@ -29,12 +29,12 @@
 
 	private final EmbeddedChannel channel = new EmbeddedChannel();
 
-	private final CountingTopics topics = new CountingTopics();
+	private final RecordingTopics topics = new RecordingTopics();
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> receivedKeys = new ArrayList<>();
 
 	private final AddressAnnouncement announcement = new AddressAnnouncement(OWN,
-			(entry) -> this.heard.add(entry.key()), this.topics, this.channel.eventLoop());
+			(entry) -> this.receivedKeys.add(entry.key()), this.topics, this.channel.eventLoop());
 
 	@Test
 	void writesAnAddressThatIsNotListed() {
@@ -42,12 +42,11 @@
 		this.announcement.readThrough(1);
 		this.announcement.readThrough(2);
 		assertThat(this.topics.written).containsExactly("10.1.0.16:7500 a 0.27");
-		assertThat(this.heard).containsExactly("other");
+		assertThat(this.receivedKeys).containsExactly("other");
 	}
 
-	// Guards against reads that grow with the square of the fleet when all processes
-	// start
-	// again.
+	// Guards against a number of reads that grows with the square of the fleet when all
+	// processes restart.
 	@Test
 	void writesNothingIfTheAddressIsListed() {
 		this.announcement.changed(record("own", OWN.format()));
@@ -56,14 +55,14 @@
 	}
 
 	@Test
-	void replacesAnOlderAddress() {
+	void replacesAnOutdatedAddress() {
 		this.announcement.changed(record("own", "10.1.0.99:7500 a 0.27"));
 		this.announcement.readThrough(1);
 		assertThat(this.topics.written).hasSize(1);
 	}
 
 	@Test
-	void writesAgainAfterAFailure() {
+	void retriesAFailedWrite() {
 		this.topics.failing = true;
 		this.announcement.readThrough(1);
 		this.topics.failing = false;
@@ -76,7 +75,7 @@
 		return new TopicRecord(0, key, value.getBytes(StandardCharsets.UTF_8));
 	}
 
-	private static final class CountingTopics implements SharedTopics {
+	private static final class RecordingTopics implements SharedTopics {
 
 		private final List<String> written = new ArrayList<>();
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingNoticeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
@@ -47,9 +47,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests that every gateway of a fleet learns in time that an endpoint is draining.
+ * Tests that every gateway of a fleet detects in time that an endpoint is draining.
  */
-class DrainingNoticeTests {
+class DrainingPropagationTests {
 
 	private static final Duration DRAIN_TIME = Duration.ofSeconds(3);
 
@@ -61,9 +61,9 @@
 
 	private static final int ENDPOINTS = 20;
 
-	private static final int MAXIMUM_LAG_MILLIS = 2000;
+	private static final int MAXIMUM_PAUSE_MILLIS = 2000;
 
-	private static final int LAG_EVERY_STEPS = 25;
+	private static final int MEAN_STEPS_BETWEEN_PAUSES = 25;
 
 	private final Store store = new Store();
 
@@ -73,92 +73,95 @@
 
 	private SplittableRandom random = new SplittableRandom(1);
 
-	private double loss;
+	private double lossRate;
 
-	private boolean lagging;
+	private boolean pausing;
 
 	private long now;
 
 	@Test
-	void everyGatewayLearnsOfItWhileNothingIsWrong() {
+	void everyGatewayDetectsDrainingWithoutFaults() {
 		start(60, 0);
 		assertThat(drain(0, (node) -> true)).isLessThan(DRAIN_TIME);
 	}
 
-	// Guards against gateways that wait for others to read the store when none of these
+	// Guards against gateways that wait for others to read the store while none of those
 	// can.
 	@Test
-	void gatewaysThatReachTheStoreLearnOfItThoughAllAggregatorsAreRejected() {
+	void gatewaysThatReachTheStoreDetectDrainingWhenAllAggregatorsAreRejected() {
 		start(60, 0);
 		aggregators().forEach((node) -> node.rejected = true);
 		assertThat(drain(0, (node) -> !node.rejected)).isLessThan(DRAIN_TIME);
 	}
 
-	// Guards against gateways that trust readers whose reads take longer and longer.
+	// Guards against gateways that rely on readers whose reads become slower and slower.
 	@Test
-	void gatewaysLearnOfItThoughTheReadersReadFromAStoreThatAnswersThemLate() {
+	void gatewaysDetectDrainingWhenTheStoreRespondsSlowlyToTheReaders() {
 		start(60, 0);
-		aggregators().forEach((node) -> node.answerMillis = 1000);
-		play(Duration.ofSeconds(2));
-		assertThat(drain(0, (node) -> node.answerMillis < 1000)).isLessThan(DRAIN_TIME);
+		aggregators().forEach((node) -> node.responseMillis = 1000);
+		runFor(Duration.ofSeconds(2));
+		assertThat(drain(0, (node) -> node.responseMillis < 1000)).isLessThan(DRAIN_TIME);
 	}
 
-	// Guards against a notice that is lost between gateways and missed for seconds.
+	// Guards against a relayed record that is lost between gateways and then missing for
+	// seconds.
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 4, 5 })
-	void gatewaysLearnOfItThoughDatagramsAreLost(int seed) {
+	void gatewaysDetectDrainingDespiteLostDatagrams(int seed) {
 		start(60, seed);
-		this.loss = 0.1;
+		this.lossRate = 0.1;
 		for (int endpoint = 0; endpoint < 5; endpoint++) {
 			assertThat(drain(endpoint, (node) -> true)).isLessThan(DRAIN_TIME);
 		}
 	}
 
-	// Guards against views that grow old while every VM gets more work than its processor
-	// share allows, readers included.
+	// Guards against outdated endpoints while every VM, including those of the readers,
+	// gets more work than its processor share allows.
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 4, 5, 19, 30 })
-	void noGatewaySendsOnAnOldViewThoughAllOfThemLag(int seed) {
+	void noGatewaySendsToADrainingEndpointTooLongWhileAllGatewaysPause(int seed) {
 		start(60, seed);
-		this.loss = 0.02;
-		this.lagging = true;
-		play(Duration.ofSeconds(2));
+		this.lossRate = 0.02;
+		this.pausing = true;
+		runFor(Duration.ofSeconds(2));
 		for (int endpoint = 0; endpoint < 5; endpoint++) {
 			assertThat(drain(endpoint, (node) -> true)).isLessThan(DRAIN_TIME);
 		}
 	}
 
-	// Guards against gateways that stop serving because the store does not answer.
+	// Guards against gateways that stop sending requests because the store does not
+	// respond.
 	@ParameterizedTest
 	@ValueSource(ints = { 9, 60 })
-	void gatewaysGoOnSendingWhileTheStoreIsSilent(int gateways) {
+	void gatewaysKeepSendingWhileTheStoreDoesNotRespond(int gateways) {
 		start(gateways, 0);
-		this.fleet.forEach((node) -> node.answerMillis = 60_000);
-		play(Duration.ofSeconds(10));
-		assertThat(this.fleet).allMatch((node) -> node.heldSteps == 0, "held no request");
+		this.fleet.forEach((node) -> node.responseMillis = 60_000);
+		runFor(Duration.ofSeconds(10));
+		assertThat(this.fleet).allMatch((node) -> node.blockedSteps == 0, "blocked no request");
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 9, 60 })
-	void gatewaysGoOnSendingWhileTheStoreRejectsAll(int gateways) {
+	void gatewaysKeepSendingWhileTheStoreRejectsAllCalls(int gateways) {
 		start(gateways, 0);
 		this.fleet.forEach((node) -> node.rejected = true);
-		play(Duration.ofSeconds(10));
-		assertThat(this.fleet).allMatch((node) -> node.heldSteps == 0, "held no request");
+		runFor(Duration.ofSeconds(10));
+		assertThat(this.fleet).allMatch((node) -> node.blockedSteps == 0, "blocked no request");
 	}
 
 	private List<Node> aggregators() {
 		return this.fleet.stream().filter((node) -> node.view.aggregates()).toList();
 	}
 
-	// Returns how long the gateways that count may have sent requests to the endpoint.
-	private Duration drain(int endpoint, Predicate<Node> counted) {
+	// Returns how long the given gateways may have sent requests to the draining
+	// endpoint.
+	private Duration drain(int endpoint, Predicate<Node> included) {
 		this.store.put(endpoint, DRAINING);
 		long at = this.now;
-		play(Duration.ofSeconds(8));
+		runFor(Duration.ofSeconds(8));
 		EndpointId id = this.store.id(endpoint);
 		long latest = this.fleet.stream()
-			.filter(counted)
+			.filter(included)
 			.mapToLong((node) -> node.lastSentAt.getOrDefault(id, at))
 			.max()
 			.orElseThrow();
@@ -175,12 +178,12 @@
 			this.fleet.add(node);
 			this.byAddress.put(node.address.address(), node);
 		}
-		this.fleet.forEach(Node::introduce);
-		this.fleet.forEach((node) -> node.state.start());
-		play(Duration.ofSeconds(6));
+		this.fleet.forEach(Node::registerAll);
+		this.fleet.forEach((node) -> node.sharedState.start());
+		runFor(Duration.ofSeconds(6));
 	}
 
-	private void play(Duration time) {
+	private void runFor(Duration time) {
 		for (long end = this.now + time.toNanos(); this.now < end;) {
 			this.now += Duration.ofMillis(STEP_MILLIS).toNanos();
 			this.store.heartbeat();
@@ -196,7 +199,7 @@
 			node.outbox.clear();
 		});
 		for (Message message : messages) {
-			if (this.random.nextDouble() >= this.loss) {
+			if (this.random.nextDouble() >= this.lossRate) {
 				Node receiver = Objects.requireNonNull(this.byAddress.get(message.to()));
 				receiver.inbox.add(message);
 			}
@@ -208,7 +211,7 @@
 	}
 
 	/**
-	 * The newest records of all endpoints, each of which writes once in 1.2 s.
+	 * A store of endpoint records, in which each endpoint writes once in 1.2 s.
 	 */
 	private final class Store {
 
@@ -235,7 +238,7 @@
 		}
 
 		void heartbeat() {
-			while (this.heartbeats < DrainingNoticeTests.this.now / (HEARTBEAT_NANOS / ENDPOINTS)) {
+			while (this.heartbeats < DrainingPropagationTests.this.now / (HEARTBEAT_NANOS / ENDPOINTS)) {
 				int endpoint = (int) (this.heartbeats++ % ENDPOINTS);
 				put(endpoint, Objects.requireNonNull(this.states.get(endpoint)));
 			}
@@ -270,12 +273,12 @@
 
 		private final FleetExchange exchange;
 
-		private final ReadingDelegation delegation;
+		private final ReadDelegation delegation;
 
 		private final EndpointTable endpoints = new EndpointTable(
 				new RateLimitAllotment("gateway", () -> List.of("gateway")));
 
-		private final StateWatch state;
+		private final SharedStateFollower sharedState;
 
 		private final List<Message> inbox = new ArrayList<>();
 
@@ -287,11 +290,11 @@
 
 		private boolean rejected;
 
-		private int answerMillis = 5;
+		private int responseMillis = 5;
 
-		private int heldSteps;
+		private int blockedSteps;
 
-		private long standsStillUntil;
+		private long pausedUntil;
 
 		private long reportAt;
 
@@ -304,25 +307,25 @@
 			this.address = new GatewayAddress("gateway-" + number,
 					new InetSocketAddress("10.0.0." + (1 + number), 7500), dataCenter, (number % 4 == 0) ? 1.5 : 0.27);
 			this.table = new PeerTable(this.incarnation, dataCenter);
-			this.delegation = new ReadingDelegation(() -> DrainingNoticeTests.this.now, this.incarnation);
+			this.delegation = new ReadDelegation(() -> DrainingPropagationTests.this.now, this.incarnation);
 			this.exchange = new FleetExchange(this.address, this.channel.eventLoop(),
-					() -> DrainingNoticeTests.this.now, this, this.table, this::report, (used) -> {
-					}, (records) -> this.state().relayed(records));
-			this.state = new StateWatch(this, this.channel.eventLoop(), () -> DrainingNoticeTests.this.now,
-					new Records(), this.endpoints, this.delegation::ofSharedState,
-					() -> Duration.ofMillis(this.view.aggregates() ? 250 : 2000), this.exchange::relay,
-					this.exchange::forward, (configuration) -> {
+					() -> DrainingPropagationTests.this.now, this, this.table, this::report, (used) -> {
+					}, (records) -> this.sharedState().applyRelayed(records));
+			this.sharedState = new SharedStateFollower(this, this.channel.eventLoop(),
+					() -> DrainingPropagationTests.this.now, new StateRecordCodec(), this.endpoints,
+					this.delegation::delegatesSharedState, () -> Duration.ofMillis(this.view.aggregates() ? 250 : 2000),
+					this.exchange::relay, this.exchange::forward, (configuration) -> {
 					}, (order) -> false, DRAIN_TIME);
-			this.reportAt = Duration.ofMillis(DrainingNoticeTests.this.random.nextInt(400)).toNanos();
-			this.tickAt = Duration.ofMillis(DrainingNoticeTests.this.random.nextInt(TICK_MILLIS)).toNanos();
+			this.reportAt = Duration.ofMillis(DrainingPropagationTests.this.random.nextInt(400)).toNanos();
+			this.tickAt = Duration.ofMillis(DrainingPropagationTests.this.random.nextInt(TICK_MILLIS)).toNanos();
 		}
 
-		private StateWatch state() {
-			return this.state;
+		private SharedStateFollower sharedState() {
+			return this.sharedState;
 		}
 
-		void introduce() {
-			for (Node other : DrainingNoticeTests.this.fleet) {
+		void registerAll() {
+			for (Node other : DrainingPropagationTests.this.fleet) {
 				byte[] value = other.address.format().getBytes(StandardCharsets.UTF_8);
 				this.exchange.directory().changed(new TopicRecord(0, other.address.name(), value));
 			}
@@ -330,20 +333,22 @@
 
 		void advance() {
 			this.channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
-			if (DrainingNoticeTests.this.now < this.standsStillUntil) {
+			if (DrainingPropagationTests.this.now < this.pausedUntil) {
 				return;
 			}
-			if (DrainingNoticeTests.this.lagging && DrainingNoticeTests.this.random.nextInt(LAG_EVERY_STEPS) == 0) {
-				this.standsStillUntil = DrainingNoticeTests.this.now
-						+ Duration.ofMillis(DrainingNoticeTests.this.random.nextInt(MAXIMUM_LAG_MILLIS)).toNanos();
+			if (DrainingPropagationTests.this.pausing
+					&& DrainingPropagationTests.this.random.nextInt(MEAN_STEPS_BETWEEN_PAUSES) == 0) {
+				this.pausedUntil = DrainingPropagationTests.this.now
+						+ Duration.ofMillis(DrainingPropagationTests.this.random.nextInt(MAXIMUM_PAUSE_MILLIS))
+							.toNanos();
 			}
-			sendRequests(DrainingNoticeTests.this.now);
-			this.inbox.forEach((message) -> this.exchange.received(message.from(), message.content()));
+			sendRequests(DrainingPropagationTests.this.now);
+			this.inbox.forEach((message) -> this.exchange.handleDatagram(message.from(), message.content()));
 			this.inbox.clear();
 			this.channel.runScheduledPendingTasks();
-			long time = DrainingNoticeTests.this.now;
+			long time = DrainingPropagationTests.this.now;
 			if (time >= this.reportAt) {
-				this.reportAt = time + this.exchange.interval().toNanos();
+				this.reportAt = time + this.exchange.reportInterval().toNanos();
 				this.exchange.report(time);
 			}
 			if (time >= this.tickAt) {
@@ -351,15 +356,15 @@
 				this.table.expire(time);
 				this.view = this.table.view(time);
 				this.delegation.update(this.view);
-				this.state.compare(this.view.known(), time);
+				this.sharedState.reconcile(this.view.known(), time);
 			}
 		}
 
-		// Callers' requests that arrived meanwhile come first, before what others
-		// reported.
+		// Requests that arrived during a pause are sent first, before the reports of
+		// other gateways are handled.
 		private void sendRequests(long time) {
-			if (!this.state.endpointsCurrent(time)) {
-				this.heldSteps++;
+			if (!this.sharedState.endpointsCurrent(time)) {
+				this.blockedSteps++;
 				return;
 			}
 			for (Endpoint endpoint : this.endpoints.all()) {
@@ -371,18 +376,18 @@
 
 		private GatewayReport report() {
 			return new GatewayReport(this.incarnation, this.address.dataCenter(), TrafficTotals.NONE, false,
-					this.state.known());
+					this.sharedState.knownState());
 		}
 
 		@Override
 		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
-			return answer(topic, DrainingNoticeTests.this.store.newest());
+			return answer(topic, DrainingPropagationTests.this.store.newest());
 		}
 
 		@Override
 		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
 			return answer(topic,
-					(topic == Topic.ENDPOINTS) ? DrainingNoticeTests.this.store.changes(from) : configuration());
+					(topic == Topic.ENDPOINTS) ? DrainingPropagationTests.this.store.changes(from) : configuration());
 		}
 
 		private CompletableFuture<TopicPage> answer(Topic topic, TopicPage page) {
@@ -392,7 +397,8 @@
 				return future;
 			}
 			TopicPage answer = (topic == Topic.ENDPOINTS) ? page : configuration();
-			this.channel.eventLoop().schedule(() -> future.complete(answer), this.answerMillis, TimeUnit.MILLISECONDS);
+			this.channel.eventLoop()
+				.schedule(() -> future.complete(answer), this.responseMillis, TimeUnit.MILLISECONDS);
 			this.channel.eventLoop()
 				.schedule(
 						() -> future.completeExceptionally(
@@ -428,9 +434,9 @@
 	}
 
 	/**
-	 * Reads records whose value is the endpoint's state.
+	 * Decodes endpoint records whose value is the state of the endpoint.
 	 */
-	private static final class Records implements RecordCodec {
+	private static final class StateRecordCodec implements RecordCodec {
 
 		@Override
 		public Configuration readConfiguration(byte[] value) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointScalingTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointAutoscalerTests.java
@@ -25,7 +25,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class EndpointScalingTests {
+class EndpointAutoscalerTests {
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
@@ -35,34 +35,34 @@
 
 	private final ScriptedDuties duties = new ScriptedDuties();
 
-	private final EndpointScaling orders = new EndpointScaling(this.duties, () -> FleetView.ALONE,
+	private final EndpointAutoscaler autoscaler = new EndpointAutoscaler(this.duties, () -> FleetView.ALONE,
 			new DemandEstimator(),
 			new ServingEndpoints(new EndpointTable(new RateLimitAllotment("gateway", () -> List.of("gateway"))),
 					new RolloutTable()));
 
-	// Guards against on-demand endpoints that stand in, at several times the price, for
+	// Guards against on-demand endpoints, at several times the price, that run for
 	// seconds after reclaimable ones are available again.
 	@Test
-	void aRejectedOrderIsSentAgainEachSecond() {
+	void aRejectedOrderIsRetriedEverySecond() {
 		this.duties.available = false;
-		play(10);
+		runFor(10);
 		assertThat(this.duties.reclaimableOrdersAt).hasSizeBetween(6, 8);
 	}
 
 	@Test
-	void anOrderThatWasTakenIsNotSentAgainWhileItsEndpointsStart() {
-		play(6);
+	void anAcceptedOrderIsNotRetriedWhileItsEndpointsStart() {
+		runFor(6);
 		assertThat(this.duties.reclaimableOrdersAt).hasSize(1);
 	}
 
-	private void play(int seconds) {
+	private void runFor(int seconds) {
 		ScalingLimits limits = new ScalingLimits(1, 6, Duration.ofSeconds(4), 0.2, Map.of(ZONE, 1.0));
-		this.orders.configure(new Configuration(1, List.of(),
+		this.autoscaler.configure(new Configuration(1, List.of(),
 				List.of(new Service(SERVICE, 100, new EngineMemory(600_000, 0.001), limits)), List.of(),
 				CallerLimits.DEFAULT));
 		for (long now = 0; now < Duration.ofSeconds(seconds).toNanos(); now += TICK) {
 			this.duties.now = now;
-			this.orders.tick(1, now);
+			this.autoscaler.tick(1, now);
 		}
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointRateLimitTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointRateLimitTests.java
@@ -40,7 +40,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests that a fleet keeps the rate limit that an endpoint names to some of its gateways.
+ * Tests that a fleet complies with the rate limit that an endpoint announces to some of
+ * its gateways.
  */
 class EndpointRateLimitTests {
 
@@ -52,10 +53,12 @@
 
 	private static final Duration STEP = Duration.ofMillis(10);
 
-	private static final Duration ANSWER_TIME = Duration.ofMillis(60);
+	private static final Duration RESPONSE_TIME = Duration.ofMillis(60);
 
-	/** Time from which the limit binds after an endpoint first named it. */
-	private static final Duration CONTACT = Duration.ofSeconds(3);
+	/**
+	 * Time after which the limit must be met, from the first response that announced it.
+	 */
+	private static final Duration CONVERGENCE_TIME = Duration.ofSeconds(3);
 
 	private static final Duration WINDOW = Duration.ofSeconds(4);
 
@@ -75,47 +78,48 @@
 
 	private long now;
 
-	// Guards against an endpoint that gets its limit from each gateway, or regardless of
-	// it.
+	// Guards against a fleet that exceeds a limit, because each gateway uses the full
+	// limit or ignores it.
 	@ParameterizedTest
 	@CsvSource({ "9, 1, 30", "9, 1.4, 30", "9, 0.3, 30", "9, 12, 60", "60, 1, 300", "60, 5, 300", "60, 40, 300" })
-	void anEndpointGetsNoMoreThanItsLimitFromAllGatewaysTogether(int gateways, double requestsPerSecond,
-			int requestsOfTheFleet) {
+	void allGatewaysTogetherStayWithinTheLimitOfAnEndpoint(int gateways, double requestsPerSecond,
+			int offeredRequestsPerSecond) {
 		start(gateways);
 		this.limit = requestsPerSecond;
-		play(Duration.ofSeconds(2), requestsOfTheFleet);
-		play(CONTACT, requestsOfTheFleet);
+		runFor(Duration.ofSeconds(2), offeredRequestsPerSecond);
+		runFor(CONVERGENCE_TIME, offeredRequestsPerSecond);
 		this.arrivals.clear();
-		play(Duration.ofSeconds(30), requestsOfTheFleet);
-		assertThat(most(WINDOW))
+		runFor(Duration.ofSeconds(30), offeredRequestsPerSecond);
+		assertThat(maximumArrivals(WINDOW))
 			.isLessThanOrEqualTo((int) (MAXIMUM_OVERSHOOT * requestsPerSecond * WINDOW.toSeconds() + SLACK));
 		assertThat(this.arrivals.size()).as("use of the limit").isGreaterThan((int) (requestsPerSecond * 30 * 0.4));
 	}
 
-	// Guards against an endpoint that is avoided for good after its need has ended.
+	// Guards against an endpoint that is avoided permanently after it has removed its
+	// limit.
 	@Test
-	void anEndpointGetsItsShareAgainWhenItNamesNoLimitAnyMore() {
+	void anEndpointReceivesItsShareAgainAfterItsLimitIsRemoved() {
 		start(9);
 		this.limit = 1.0;
-		play(Duration.ofSeconds(10), 30);
+		runFor(Duration.ofSeconds(10), 30);
 		this.limit = null;
-		play(Duration.ofSeconds(8), 30);
+		runFor(Duration.ofSeconds(8), 30);
 		this.arrivals.clear();
-		play(Duration.ofSeconds(10), 30);
+		runFor(Duration.ofSeconds(10), 30);
 		assertThat(this.arrivals.size()).isGreaterThan(100);
 	}
 
-	private int most(Duration window) {
-		int most = 0;
+	private int maximumArrivals(Duration window) {
+		int maximum = 0;
 		Deque<Long> inWindow = new ArrayDeque<>();
 		for (long at : this.arrivals) {
 			inWindow.add(at);
 			while (at - inWindow.getFirst() >= window.toNanos()) {
 				inWindow.removeFirst();
 			}
-			most = Math.max(most, inWindow.size());
+			maximum = Math.max(maximum, inWindow.size());
 		}
-		return most;
+		return maximum;
 	}
 
 	private void start(int gateways) {
@@ -124,11 +128,11 @@
 			this.fleet.add(node);
 			this.byAddress.put(node.address.address(), node);
 		}
-		this.fleet.forEach(Node::introduce);
-		play(Duration.ofSeconds(3), 0);
+		this.fleet.forEach(Node::registerAll);
+		runFor(Duration.ofSeconds(3), 0);
 	}
 
-	private void play(Duration time, int requestsPerSecond) {
+	private void runFor(Duration time, int requestsPerSecond) {
 		double perStep = requestsPerSecond * STEP.toNanos() / 1e9;
 		for (long end = this.now + time.toNanos(); this.now < end; this.now += STEP.toNanos()) {
 			for (double due = perStep; this.random.nextDouble() < due; due -= 1) {
@@ -146,7 +150,7 @@
 			node.outbox.clear();
 		});
 		messages.forEach((message) -> Objects.requireNonNull(this.byAddress.get(message.to())).exchange
-			.received(message.from(), message.content()));
+			.handleDatagram(message.from(), message.content()));
 	}
 
 	@SuppressWarnings("ArrayRecordComponent")
@@ -208,7 +212,7 @@
 					dataCenter, 100, false, false, 1);
 		}
 
-		void introduce() {
+		void registerAll() {
 			for (Node other : EndpointRateLimitTests.this.fleet) {
 				byte[] value = other.address.format().getBytes(StandardCharsets.UTF_8);
 				this.exchange.directory().changed(new TopicRecord(0, other.address.name(), value));
@@ -223,7 +227,7 @@
 			}
 			placed.endpoint().sent(Prompt.NONE, 0);
 			placed.endpoint().rateLimiter().sent(time);
-			this.running.add(new Running(placed.endpoint(), time + ANSWER_TIME.toNanos()));
+			this.running.add(new Running(placed.endpoint(), time + RESPONSE_TIME.toNanos()));
 			if (placed.endpoint().id().equals(LIMITED)) {
 				EndpointRateLimitTests.this.arrivals.add(time);
 			}
@@ -239,7 +243,7 @@
 				endpoint.rateLimiter().observe(limited ? EndpointRateLimitTests.this.limit : null, time, time);
 			}
 			if (time >= this.reportAt) {
-				this.reportAt = time + this.exchange.interval().toNanos();
+				this.reportAt = time + this.exchange.reportInterval().toNanos();
 				this.exchange.report(time);
 			}
 			if (time >= this.tickAt) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/FleetExchangeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/FleetExchangeTests.java
@@ -45,23 +45,23 @@
 
 	private final Map<InetSocketAddress, Peer> byAddress = new HashMap<>();
 
-	private final Set<String> cutOff = new HashSet<>();
+	private final Set<String> partitioned = new HashSet<>();
 
 	private final SplittableRandom random = new SplittableRandom(4);
 
-	private double loss;
+	private double lossRate;
 
 	private long now;
 
-	// Guards against a fleet in which each gateway's work grows with the number of
-	// others.
+	// Guards against a fleet in which the work of each gateway grows with the number of
+	// gateways.
 	@ParameterizedTest
 	@ValueSource(ints = { 30, 100, 300 })
-	void whoIsNoAggregatorSendsAndReceivesAHandfulOfMessagesInAnInterval(int gateways) {
+	void aNonAggregatorSendsAndReceivesFewMessagesPerInterval(int gateways) {
 		start(gateways, 5);
-		play(Duration.ofSeconds(4));
+		runFor(Duration.ofSeconds(4));
 		this.fleet.forEach(Peer::resetCounters);
-		play(Duration.ofSeconds(4));
+		runFor(Duration.ofSeconds(4));
 		for (Peer peer : this.fleet) {
 			if (!peer.view().aggregates()) {
 				assertThat(peer.sent).as("sent by " + peer.name).isLessThanOrEqualTo(2 * 17);
@@ -75,9 +75,9 @@
 	@ParameterizedTest
 	@ValueSource(ints = { 6, 9, 60, 100 })
 	void everyGatewayKnowsTheWholeFleet(int gateways) {
-		this.loss = 0.02;
+		this.lossRate = 0.02;
 		start(gateways, 3);
-		play(Duration.ofSeconds(6));
+		runFor(Duration.ofSeconds(6));
 		for (Peer peer : this.fleet) {
 			assertThat(peer.view().others()).as("others of " + peer.name).isEqualTo(gateways - 1);
 			assertThat(peer.view().reachableShare()).isGreaterThan(0.9);
@@ -86,38 +86,36 @@
 		}
 	}
 
-	// Guards against usage that is counted twice or forgotten when the gateways that add
-	// it
+	// Guards against usage that is counted twice or lost when the aggregators that sum it
 	// up die.
 	@Test
-	void usageIsExactAtEveryGatewayThoughAggregatorsDie() {
-		this.loss = 0.02;
+	void usageIsExactAtEveryGatewayAfterAggregatorsDie() {
+		this.lossRate = 0.02;
 		start(60, 3);
-		play(Duration.ofSeconds(4));
+		runFor(Duration.ofSeconds(4));
 		this.fleet.forEach((peer) -> peer.counted = 5);
-		play(Duration.ofSeconds(2));
+		runFor(Duration.ofSeconds(2));
 		List<Peer> aggregators = this.fleet.stream().filter((peer) -> peer.view().aggregates()).toList();
 		aggregators.stream().filter((peer) -> peer.dataCenter.value().equals("dc-0")).forEach(Peer::die);
-		play(Duration.ofSeconds(5));
+		runFor(Duration.ofSeconds(5));
 		for (Peer peer : alive()) {
 			assertThat(peer.table.counted(WINDOW)).as("counted by " + peer.name).containsEntry(ACCOUNT, 300L);
 		}
 	}
 
-	// Guards against a usage report that lacks what a process counted before it was
-	// started
-	// again within the same window.
+	// Guards against a usage report that lacks the counts of a process from before its
+	// restart within the same window.
 	@ParameterizedTest
 	@ValueSource(ints = { 9, 60 })
-	void whatAProcessCountedBeforeARestartIsAddedToWhatItCountsAfterwards(int gateways) {
+	void countsFromBeforeARestartAreAddedToLaterCounts(int gateways) {
 		start(gateways, 3);
-		play(Duration.ofSeconds(4));
+		runFor(Duration.ofSeconds(4));
 		Peer restarted = this.fleet.get(5);
 		restarted.counted = 40;
-		play(Duration.ofSeconds(2));
+		runFor(Duration.ofSeconds(2));
 		restarted.restart();
 		restarted.counted = 30;
-		play(Duration.ofSeconds(3));
+		runFor(Duration.ofSeconds(3));
 		for (Peer peer : this.fleet) {
 			if (peer != restarted || gateways > 16) {
 				assertThat(peer.table.counted(WINDOW)).as("counted by " + peer.name).containsEntry(ACCOUNT, 70L);
@@ -125,15 +123,15 @@
 		}
 	}
 
-	// Guards against a group that drops out of the fleet with its aggregators.
+	// Guards against a group that disappears from the fleet with its aggregators.
 	@Test
-	void theNextInRankStepInWhenBothAggregatorsDie() {
+	void theNextInRankReplaceBothAggregatorsWhenTheyDie() {
 		start(60, 3);
-		play(Duration.ofSeconds(4));
+		runFor(Duration.ofSeconds(4));
 		this.fleet.stream()
 			.filter((peer) -> peer.view().aggregates() && peer.dataCenter.value().equals("dc-1"))
 			.forEach(Peer::die);
-		play(Duration.ofSeconds(3));
+		runFor(Duration.ofSeconds(3));
 		for (Peer peer : alive()) {
 			assertThat(peer.view().loads().get(ENDPOINT)).as("loads at " + peer.name)
 				.isEqualTo(new EndpointLoad(57, 57));
@@ -141,48 +139,48 @@
 		}
 	}
 
-	// Guards against requests that are sent into a data centre that is cut off.
+	// Guards against requests that are sent into a partitioned data centre.
 	@Test
-	void aCutIsKnownWithinASecondAndAHalfAndSoIsItsEnd() {
+	void aPartitionAndItsEndAreDetectedWithin1500Millis() {
 		start(60, 3);
-		play(Duration.ofSeconds(4));
-		this.cutOff.add("dc-2");
-		play(Duration.ofMillis(1500));
+		runFor(Duration.ofSeconds(4));
+		this.partitioned.add("dc-2");
+		runFor(Duration.ofMillis(1500));
 		for (Peer peer : this.fleet) {
 			Set<DataCenterName> expected = peer.dataCenter.value().equals("dc-2")
 					? Set.of(new DataCenterName("dc-0"), new DataCenterName("dc-1"))
 					: Set.of(new DataCenterName("dc-2"));
 			assertThat(peer.view().unreachableDataCenters()).as("unreachable from " + peer.name).isEqualTo(expected);
 		}
-		play(Duration.ofSeconds(4));
-		this.cutOff.clear();
-		play(Duration.ofMillis(1500));
+		runFor(Duration.ofSeconds(4));
+		this.partitioned.clear();
+		runFor(Duration.ofMillis(1500));
 		for (Peer peer : this.fleet) {
 			assertThat(peer.view().unreachableDataCenters()).as("unreachable from " + peer.name).isEmpty();
 			assertThat(peer.view().others()).isEqualTo(59);
 		}
 	}
 
-	// Guards against a quota that is overdrawn since gateways don't learn what the others
-	// accepted, or starved since they are told twice.
+	// Guards against an overdrawn quota because gateways don't receive the usage accepted
+	// by others, and against an exhausted quota because they charge it twice.
 	@Test
-	void whatOthersAcceptIsChargedOnceAtEveryGateway() {
-		this.loss = 0.02;
+	void usageAcceptedByOthersIsChargedOnceAtEveryGateway() {
+		this.lossRate = 0.02;
 		start(60, 3);
-		play(Duration.ofSeconds(6));
+		runFor(Duration.ofSeconds(6));
 		this.fleet.forEach((peer) -> peer.charged = 0);
 		this.fleet.forEach((peer) -> peer.used += 100);
-		play(Duration.ofSeconds(3));
+		runFor(Duration.ofSeconds(3));
 		for (Peer peer : this.fleet) {
 			assertThat(peer.charged).as("charged at " + peer.name).isBetween(59 * 100 * 0.99, 59 * 100 * 1.01);
 		}
 	}
 
-	// Guards against a leaving endpoint that some gateways don't hear of.
+	// Guards against a draining endpoint of which some gateways receive no record.
 	@Test
-	void whatAReaderRelaysReachesEveryGateway() {
+	void recordsRelayedByAReaderReachEveryGateway() {
 		start(100, 5);
-		play(Duration.ofSeconds(4));
+		runFor(Duration.ofSeconds(4));
 		Peer reader = this.fleet.stream().filter((peer) -> peer.view().aggregates()).findFirst().orElseThrow();
 		reader.exchange.relay(new RelayedRecords(Topic.ENDPOINTS, List.of(new TopicRecord(1, "e", null)), null));
 		deliver();
@@ -203,21 +201,21 @@
 			this.fleet.add(peer);
 			this.byAddress.put(peer.address.address(), peer);
 		}
-		this.fleet.forEach(this::introduce);
+		this.fleet.forEach(this::registerAll);
 	}
 
-	private void introduce(Peer peer) {
+	private void registerAll(Peer peer) {
 		for (Peer other : this.fleet) {
 			byte[] value = other.address.format().getBytes(StandardCharsets.UTF_8);
 			peer.exchange.directory().changed(new TopicRecord(other.number, other.name, value));
 		}
 	}
 
-	private void play(Duration time) {
+	private void runFor(Duration time) {
 		for (long end = this.now + time.toNanos(); this.now < end; this.now += STEP) {
 			for (Peer peer : alive()) {
 				if (this.now >= peer.nextAt) {
-					peer.nextAt = this.now + peer.exchange.interval().toNanos();
+					peer.nextAt = this.now + peer.exchange.reportInterval().toNanos();
 					peer.exchange.report(this.now);
 					peer.table.expire(this.now);
 				}
@@ -234,11 +232,11 @@
 		});
 		for (Message message : messages) {
 			Peer receiver = Objects.requireNonNull(this.byAddress.get(message.to()));
-			boolean cut = this.cutOff.contains(message.from().dataCenter.value()) != this.cutOff
+			boolean separated = this.partitioned.contains(message.from().dataCenter.value()) != this.partitioned
 				.contains(receiver.dataCenter.value());
-			if (receiver.alive && !cut && this.random.nextDouble() >= this.loss) {
+			if (receiver.alive && !separated && this.random.nextDouble() >= this.lossRate) {
 				receiver.received++;
-				receiver.exchange.received(message.from().address.address(), message.content());
+				receiver.exchange.handleDatagram(message.from().address.address(), message.content());
 			}
 		}
 	}
@@ -294,13 +292,13 @@
 			this.incarnation = 1000L + number;
 			this.table = new PeerTable(this.incarnation, dataCenter);
 			this.nextAt = Duration.ofMillis(number % 250).toNanos();
-			this.exchange = exchange();
+			this.exchange = newExchange();
 		}
 
-		private FleetExchange exchange() {
+		private FleetExchange newExchange() {
 			return new FleetExchange(this.address, new EmbeddedChannel().eventLoop(), () -> FleetExchangeTests.this.now,
 					this, this.table, this::report,
-					(elsewhere) -> elsewhere.values().forEach((amount) -> this.charged += amount), this::relayed);
+					(remoteUsage) -> remoteUsage.values().forEach((amount) -> this.charged += amount), this::relayed);
 		}
 
 		void restart() {
@@ -308,8 +306,8 @@
 			this.counted = 0;
 			this.used = 0;
 			this.table = new PeerTable(this.incarnation, this.dataCenter);
-			this.exchange = exchange();
-			introduce(this);
+			this.exchange = newExchange();
+			registerAll(this);
 		}
 
 		private void relayed(RelayedRecords records) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/PeerMessageCodecTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/PeerMessageCodecTests.java
@@ -51,7 +51,7 @@
 	private final PeerMessageCodec codec = new PeerMessageCodec();
 
 	@Test
-	void rolloutsAreReadAsTheyWereWritten() {
+	void readsTheRolloutsThatItWrote() {
 		RolloutOrder order = new RolloutOrder(new ServiceName("engines"), "v2", Duration.ofSeconds(12), 7);
 		Rollout rollout = new Rollout(order, "v1", Instant.ofEpochMilli(99), -3, new RolloutStage.InProgress(0.04, 1));
 		RolloutReport report = new RolloutReport(List.of(rollout),
@@ -95,20 +95,20 @@
 	}
 
 	@Test
-	void readsRelayedRecordsAsTheyWere() {
+	void readsTheRelayedRecordsThatItWrote() {
 		RelayedRecords relayed = new RelayedRecords(Topic.ENDPOINTS,
 				List.of(new TopicRecord(7, "a", new byte[] { 1, -2 }), new TopicRecord(8, "b", null)), 900L);
 		PeerMessage read = this.codec.read(this.codec.write(new PeerMessage.Relay(relayed)));
 		assertThat(read).isInstanceOfSatisfying(PeerMessage.Relay.class, (message) -> {
-			assertThat(message.relayed().topic()).isEqualTo(Topic.ENDPOINTS);
-			assertThat(message.relayed().outageMillis()).isEqualTo(900);
-			assertThat(message.relayed().records().getFirst().value()).containsExactly(1, -2);
-			assertThat(message.relayed().records().getLast().value()).isNull();
+			assertThat(message.records().topic()).isEqualTo(Topic.ENDPOINTS);
+			assertThat(message.records().millisSinceFailure()).isEqualTo(900);
+			assertThat(message.records().records().getFirst().value()).containsExactly(1, -2);
+			assertThat(message.records().records().getLast().value()).isNull();
 		});
 	}
 
-	// Guards against a report that takes more than a quarter of a link of 7 Mbit/s at a
-	// hundred reports a second.
+	// Guards against reports that take more than a quarter of a 7 Mbit/s link at a
+	// hundred reports per second.
 	@Test
 	void aReportOfALargeFleetIsSmall() {
 		GatewayReport report = new GatewayReport(7, new DataCenterName("zone"), largeTraffic(), false, KNOWN);
@@ -132,12 +132,12 @@
 				Map.of(new ServiceName("service"), 7.0), loads, RolloutReport.NONE, Map.of());
 	}
 
-	// Guards against relayed records that fill a small VM's link for seconds when all
-	// endpoints of a service change at once.
+	// Guards against relayed records that saturate the link of a small VM for seconds
+	// when all endpoints of a service change at once.
 	@Test
-	void manyRecordsThatAreAlikeTakeLessThanAQuarterOfTheirSize() {
+	void similarRecordsAreCompressedToLessThanAQuarter() {
 		List<TopicRecord> records = new ArrayList<>();
-		int plain = 0;
+		int uncompressed = 0;
 		for (int i = 0; i < 50; i++) {
 			byte[] value = ("{\"service\":\"fiti51a\",\"address\":\"10.2.64." + i
 					+ ":8661\",\"zone\":\"gt-central-b\",\"version\":3,\"slots\":16,\"state\":\"ready\","
@@ -145,28 +145,28 @@
 					+ "}")
 				.getBytes(StandardCharsets.UTF_8);
 			records.add(new TopicRecord(40_000 + i, "i-297b3f02" + i, value));
-			plain += value.length;
+			uncompressed += value.length;
 		}
 		PeerMessage message = new PeerMessage.Relay(new RelayedRecords(Topic.ENDPOINTS, records, null));
-		assertThat(this.codec.write(message).length).isLessThan(plain / 4);
+		assertThat(this.codec.write(message).length).isLessThan(uncompressed / 4);
 	}
 
 	@Test
-	void refusesAMessageThatIsCutShort() {
+	void rejectsATruncatedMessage() {
 		for (PeerMessage message : List.of(
 				new PeerMessage.Report(new GatewayReport(7, new DataCenterName("a"), TRAFFIC, true, KNOWN)),
 				new PeerMessage.Relay(new RelayedRecords(Topic.ENDPOINTS,
 						List.of(new TopicRecord(7, "a", new byte[] { 1, -2 })), null)))) {
-			byte[] whole = this.codec.write(message);
-			for (int length = 0; length < whole.length; length++) {
-				byte[] cut = Arrays.copyOf(whole, length);
-				assertThatExceptionOfType(BanyancoveException.class).isThrownBy(() -> this.codec.read(cut));
+			byte[] complete = this.codec.write(message);
+			for (int length = 0; length < complete.length; length++) {
+				byte[] truncated = Arrays.copyOf(complete, length);
+				assertThatExceptionOfType(BanyancoveException.class).isThrownBy(() -> this.codec.read(truncated));
 			}
 		}
 	}
 
 	@Test
-	void refusesWhatIsNoMessage() {
+	void rejectsAMalformedMessage() {
 		assertThatExceptionOfType(BanyancoveException.class)
 			.isThrownBy(() -> this.codec.read("cut sho".getBytes(StandardCharsets.US_ASCII)));
 	}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/ReadingDelegationTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/ReadDelegationTests.java
@@ -13,63 +13,64 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link ReadingDelegation}.
+ * Tests of {@link ReadDelegation}.
  */
-class ReadingDelegationTests {
+class ReadDelegationTests {
 
 	private static final List<Long> READERS = List.of(1L, 2L, 3L);
 
 	private long now;
 
-	private final ReadingDelegation delegation = new ReadingDelegation(() -> this.now, 9);
+	private final ReadDelegation delegation = new ReadDelegation(() -> this.now, 9);
 
 	@Test
-	void aGatewayThatStartsReadsUntilItHearsOfReaders() {
+	void aStartingGatewayReadsUntilItDetectsReaders() {
 		this.delegation.update(fleet(List.of(), false, false));
-		assertThat(this.delegation.ofSharedState()).isFalse();
+		assertThat(this.delegation.delegatesSharedState()).isFalse();
 		this.delegation.update(fleet(READERS, true, false));
-		assertThat(this.delegation.ofSharedState()).isTrue();
-		assertThat(this.delegation.ofLease()).isTrue();
+		assertThat(this.delegation.delegatesSharedState()).isTrue();
+		assertThat(this.delegation.delegatesLease()).isTrue();
 	}
 
 	// Guards against calls of all gateways to a store that fails for some seconds.
 	@Test
-	void withoutReadersTheRestWaitsForTheAggregators() {
+	void nonAggregatorsWaitForTheAggregatorsWhenReadersAreMissing() {
 		this.delegation.update(fleet(READERS, true, false));
-		after(Duration.ofMillis(2900));
+		advance(Duration.ofMillis(2900));
 		this.delegation.update(fleet(List.of(), false, false));
-		assertThat(this.delegation.ofSharedState()).isTrue();
-		assertThat(this.delegation.ofLease()).isTrue();
+		assertThat(this.delegation.delegatesSharedState()).isTrue();
+		assertThat(this.delegation.delegatesLease()).isTrue();
 	}
 
-	// Guards against changes that nobody reads because the store rejects the aggregators.
+	// Guards against changes that no gateway reads because the store rejects the
+	// aggregators.
 	@Test
-	void afterAWhileWithoutReadersItReads() {
+	void aGatewayReadsAfterATimeoutWithoutReaders() {
 		this.delegation.update(fleet(READERS, true, false));
-		after(Duration.ofMillis(3100));
+		advance(Duration.ofMillis(3100));
 		this.delegation.update(fleet(List.of(2L), true, false));
-		assertThat(this.delegation.ofSharedState()).isFalse();
-		assertThat(this.delegation.ofLease()).isTrue();
+		assertThat(this.delegation.delegatesSharedState()).isFalse();
+		assertThat(this.delegation.delegatesLease()).isTrue();
 	}
 
-	// Guards against waiting for aggregators that are cut off from here.
+	// Guards against waiting for aggregators that are unreachable from this gateway.
 	@Test
-	void aGatewayThatHearsNobodyReads() {
+	void anIsolatedGatewayReads() {
 		this.delegation.update(fleet(READERS, true, false));
 		this.delegation.update(FleetView.ALONE);
-		assertThat(this.delegation.ofSharedState()).isFalse();
-		assertThat(this.delegation.ofLease()).isFalse();
+		assertThat(this.delegation.delegatesSharedState()).isFalse();
+		assertThat(this.delegation.delegatesLease()).isFalse();
 	}
 
 	@Test
-	void anAggregatorReadsAtOnce() {
+	void anAggregatorReadsImmediately() {
 		this.delegation.update(fleet(READERS, true, true));
 		this.delegation.update(fleet(List.of(), false, true));
-		assertThat(this.delegation.ofSharedState()).isFalse();
-		assertThat(this.delegation.ofLease()).isFalse();
+		assertThat(this.delegation.delegatesSharedState()).isFalse();
+		assertThat(this.delegation.delegatesLease()).isFalse();
 	}
 
-	private void after(Duration time) {
+	private void advance(Duration time) {
 		this.now += time.toNanos();
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/RolloutWorkTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/RolloutExecutorTests.java
@@ -35,9 +35,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link RolloutWork} and {@link RolloutStatus}.
+ * Tests of {@link RolloutExecutor} and {@link RolloutStatusPublisher}.
  */
-class RolloutWorkTests {
+class RolloutExecutorTests {
 
 	private static final ServiceName SERVICE = new ServiceName("engines");
 
@@ -54,9 +54,9 @@
 
 	private final RolloutTable table = new RolloutTable();
 
-	private Instant wall = Instant.EPOCH;
+	private Instant wallTime = Instant.EPOCH;
 
-	private RolloutWork work = newWork();
+	private RolloutExecutor executor = newExecutor();
 
 	private List<Rollout> persisted = List.of();
 
@@ -64,25 +64,24 @@
 
 	@Test
 	void aHealthyCandidateIsCompletedBeforeItsDeadline() {
-		begin();
-		play(11_900, 0);
+		startRollout();
+		runFor(11_900, 0);
 		assertThat(this.topics.states()).containsExactly("in_progress v2", "completed v2");
 	}
 
 	@Test
 	void anUnhealthyCandidateIsRolledBack() {
-		begin();
-		play(7_000, 0.5);
+		startRollout();
+		runFor(7_000, 0.5);
 		assertThat(this.topics.states()).containsExactly("in_progress v2", "rolled_back v2");
 	}
 
-	// Guards against a completion that the next holder takes back: the baseline's
-	// endpoints
-	// have stopped by then.
+	// Guards against a completion that the next holder reverts after the endpoints of the
+	// baseline have stopped.
 	@Test
-	void anEndIsAnnouncedOnlyOnceItIsPersisted() {
-		begin();
-		play(10_800, 0);
+	void aCompletionIsPublishedOnlyAfterItIsPersisted() {
+		startRollout();
+		runFor(10_800, 0);
 		List<Rollout> before = this.persisted;
 		for (int i = 0; i < 20; i++) {
 			tick(before, 0);
@@ -92,33 +91,34 @@
 	}
 
 	@Test
-	void theNextHolderGoesOnFromThePersistedState() {
-		begin();
-		play(11_900, 0);
-		this.work = newWork();
+	void theNextHolderContinuesFromThePersistedState() {
+		startRollout();
+		runFor(11_900, 0);
+		this.executor = newExecutor();
 		this.table.ordered(ORDER);
 		for (int i = 0; i < 30; i++) {
 			this.now += 200 * MILLISECOND;
-			this.work.tick(FENCE + 1, this.persisted, this.now);
+			this.executor.tick(FENCE + 1, this.persisted, this.now);
 		}
 		assertThat(this.topics.states()).containsExactly("in_progress v2", "completed v2");
 	}
 
-	// Guards against a lost answer to a write that was carried out: written once more, it
-	// would stand behind a newer state.
+	// Guards against the retry of a write whose response was lost although the store
+	// applied it: the second write would follow a newer state.
 	@Test
-	void aWriteWhoseAnswerWasLostIsNotRepeated() {
-		this.topics.losesAnswers = true;
-		begin();
-		play(2_000, 0);
+	void anAppliedWriteWithALostResponseIsNotRepeated() {
+		this.topics.losesResponses = true;
+		startRollout();
+		runFor(2_000, 0);
 		assertThat(this.topics.states()).containsExactly("in_progress v2");
 	}
 
-	// Guards against a second rollout whose baseline stops before all gateways follow.
+	// Guards against a second rollout whose baseline stops before all gateways follow the
+	// decision.
 	@Test
-	void eachCompletionIsAnnouncedAfterItsDelay() {
-		begin();
-		play(12_000, 0);
+	void eachCompletionIsPublishedAfterItsDelay() {
+		startRollout();
+		runFor(12_000, 0);
 		list("a", "v2");
 		list("c", "v3");
 		this.table.ordered(new RolloutOrder(SERVICE, "v3", Duration.ofSeconds(12), 8));
@@ -126,40 +126,40 @@
 		this.endpoints.remove(new EndpointId("b"));
 		Rollout decision = null;
 		for (int ticks = 0; decision == null && ticks < 10; ticks++) {
-			tick(this.work.durable(), 0);
+			tick(this.executor.rolloutsToPersist(), 0);
 			decision = this.table.decision(SERVICE);
 		}
 		assertThat(decision).isNotNull();
 		assertThat(this.topics.states()).hasSize(2);
-		play(1_000, 0);
+		runFor(1_000, 0);
 		assertThat(this.topics.states()).hasSize(3).endsWith("completed v3");
 	}
 
 	@Test
-	void anOrderForTheVersionThatServesIsCompletedAtOnce() {
+	void anOrderForTheServingVersionIsCompletedImmediately() {
 		list("a", "v2");
 		this.table.ordered(ORDER);
-		play(2_000, 0);
+		runFor(2_000, 0);
 		assertThat(this.topics.states()).last().isEqualTo("completed v2");
 	}
 
-	private void begin() {
+	private void startRollout() {
 		list("a", "v1");
 		list("b", "v2");
 		this.table.ordered(ORDER);
 	}
 
-	private void play(int millis, double badRate) {
+	private void runFor(int millis, double badRate) {
 		for (int at = 0; at < millis; at += 200) {
-			tick(this.work.durable(), badRate);
+			tick(this.executor.rolloutsToPersist(), badRate);
 		}
 	}
 
-	private void tick(List<Rollout> named, double badRate) {
+	private void tick(List<Rollout> recordedRollouts, double badRate) {
 		this.now += 200 * MILLISECOND;
-		this.wall = this.wall.plusMillis(200);
-		this.persisted = named;
-		this.work.tick(FENCE, named, this.now);
+		this.wallTime = this.wallTime.plusMillis(200);
+		this.persisted = recordedRollouts;
+		this.executor.tick(FENCE, recordedRollouts, this.now);
 		for (int i = 0; i < 40; i++) {
 			boolean candidate = i % 20 == 0 && this.now > 4_000 * MILLISECOND;
 			String version = candidate ? "v2" : "v1";
@@ -173,10 +173,10 @@
 		}
 	}
 
-	private RolloutWork newWork() {
-		return new RolloutWork(this.table, new RolloutController(new ExposureLimits(0.1, 50)),
-				new RolloutStatus(this.topics, new TextCodec()), () -> FleetView.ALONE, this.endpoints,
-				() -> this.wall);
+	private RolloutExecutor newExecutor() {
+		return new RolloutExecutor(this.table, new RolloutController(new ExposureLimits(0.1, 50)),
+				new RolloutStatusPublisher(this.topics, new TextCodec()), () -> FleetView.ALONE, this.endpoints,
+				() -> this.wallTime);
 	}
 
 	private void list(String id, String version) {
@@ -191,7 +191,7 @@
 
 		private final List<TopicRecord> records = new ArrayList<>();
 
-		private boolean losesAnswers;
+		private boolean losesResponses;
 
 		List<String> states() {
 			return this.records.stream()
@@ -222,7 +222,7 @@
 				return CompletableFuture.completedFuture(new AppendOutcome.Moved(this.records.size()));
 			}
 			this.records.add(new TopicRecord(expectedEnd, key, value));
-			if (this.losesAnswers) {
+			if (this.losesResponses) {
 				return CompletableFuture.failedFuture(new IllegalStateException("no answer"));
 			}
 			return CompletableFuture.completedFuture(new AppendOutcome.Appended(expectedEnd));
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
@@ -26,139 +26,139 @@
 
 	private final ScriptedTopics topics = new ScriptedTopics();
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> received = new ArrayList<>();
 
-	private boolean leftToOthers;
+	private boolean readsDelegated;
 
 	private Duration maximumRetryDelay = Duration.ofMillis(250);
 
 	private final TopicFollower follower = new TopicFollower(Topic.ENDPOINTS, this.topics, this.channel.eventLoop(),
-			() -> 0, new ReadPace(() -> Duration.ofMillis(10), Duration.ZERO, () -> this.maximumRetryDelay),
-			() -> this.leftToOthers, new TopicFollower.Listener() {
+			() -> 0, new PollingPolicy(() -> Duration.ofMillis(10), Duration.ZERO, () -> this.maximumRetryDelay),
+			() -> this.readsDelegated, new TopicFollower.Listener() {
 				@Override
 				public void changed(TopicRecord entry) {
 					byte[] value = entry.value();
-					TopicFollowerTests.this.heard.add(entry.key()
-							+ ((value != null) ? "=" + new String(value, StandardCharsets.US_ASCII) : " out"));
+					TopicFollowerTests.this.received.add(entry.key()
+							+ ((value != null) ? "=" + new String(value, StandardCharsets.US_ASCII) : " removed"));
 				}
 
 				@Override
-				public void missing(String key) {
-					TopicFollowerTests.this.heard.add(key + " missing");
+				public void unlisted(String key) {
+					TopicFollowerTests.this.received.add(key + " missing");
 				}
 			});
 
 	@Test
-	void readsAllOnceAndThenWhatChanges() {
+	void readsTheListingOnceAndThenChanges() {
 		this.topics.newest.add(page(2, entry(0, "a", "1"), entry(1, "b", "1")));
 		this.topics.changes.add(page(4, entry(2, "a", "2"), entry(3, "b", null)));
-		play(1);
-		assertThat(this.heard).containsExactly("a=1", "b=1", "a=2", "b out");
-		assertThat(this.topics.asked).startsWith(2L);
+		runFor(1);
+		assertThat(this.received).containsExactly("a=1", "b=1", "a=2", "b removed");
+		assertThat(this.topics.requestedOffsets).startsWith(2L);
 		assertThat(this.follower.complete()).isTrue();
 	}
 
-	// The store dropped its history, and answers the full read from a state some seconds
-	// old. What is known better must not be undone: an endpoint that was taken out stays
-	// out.
+	// Guards against an outdated full read after the store dropped its history: the
+	// response is some seconds old and must not revert newer changes, such as the removal
+	// of an endpoint.
 	@Test
-	void anOlderStateUndoesNothing() {
+	void anOutdatedListingRevertsNothing() {
 		this.topics.newest.add(page(2, entry(0, "a", "1"), entry(1, "b", "1")));
 		this.topics.changes.add(page(4, entry(2, "b", null), entry(3, "c", "1")));
 		this.topics.changes.add(new TopicPage(List.of(), 4, null, true));
 		this.topics.newest.add(page(2, entry(0, "a", "1"), entry(1, "b", "1")));
-		play(3);
-		assertThat(this.heard).containsExactly("a=1", "b=1", "b out", "c=1");
+		runFor(3);
+		assertThat(this.received).containsExactly("a=1", "b=1", "b removed", "c=1");
 	}
 
-	// The history was dropped together with the end of an endpoint's entry. The full read
-	// doesn't list it any more, which is all that tells of its end.
+	// Guards against a missed removal: when the history is dropped together with the
+	// removal of an endpoint, only its absence from the full read shows that it is gone.
 	@Test
-	void aKeyThatIsNoLongerListedIsToldOf() {
+	void aKeyThatIsNoLongerListedIsReported() {
 		this.topics.newest.add(page(2, entry(0, "a", "1"), entry(1, "b", "1")));
 		this.topics.changes.add(new TopicPage(List.of(), 2, null, true));
 		this.topics.newest.add(page(5, entry(0, "a", "1")));
-		play(2);
-		assertThat(this.heard).containsExactly("a=1", "b=1", "b missing");
+		runFor(2);
+		assertThat(this.received).containsExactly("a=1", "b=1", "b missing");
 	}
 
 	@Test
-	void goesOnWhereItWasAfterAFailure() {
+	void continuesAtTheSameOffsetAfterAFailure() {
 		this.topics.newest.add(page(1, entry(0, "a", "1")));
 		this.topics.changes.add(null);
 		this.topics.changes.add(page(2, entry(1, "a", "2")));
-		play(3);
-		assertThat(this.heard).containsExactly("a=1", "a=2");
-		assertThat(this.topics.asked).startsWith(1L, 1L, 2L);
-		assertThat(this.follower.sinceFailure()).isNotNull();
+		runFor(3);
+		assertThat(this.received).containsExactly("a=1", "a=2");
+		assertThat(this.topics.requestedOffsets).startsWith(1L, 1L, 2L);
+		assertThat(this.follower.timeSinceFailure()).isNotNull();
 	}
 
-	// Another gateway reads the store and passes on that an endpoint is out. The follower
-	// asks the store nothing meanwhile. An older record of the endpoint arrives late and
-	// must not bring it back.
+	// While another gateway reads the store and relays the removal of an endpoint, the
+	// follower sends no reads. An older record of the endpoint that arrives late must not
+	// restore it.
 	@Test
-	void takesWhatOthersReadAndAsksNothingItself() {
+	void appliesRelayedRecordsWithoutOwnReads() {
 		this.topics.newest.add(page(2, entry(0, "a", "1"), entry(1, "b", "1")));
-		this.leftToOthers = true;
-		play(1);
-		this.follower.relayed(entry(5, "b", null));
-		this.follower.relayed(entry(3, "b", "0"));
-		assertThat(this.heard).containsExactly("a=1", "b=1", "b out");
-		assertThat(this.topics.asked).isEmpty();
-		assertThat(this.follower.knownThrough()).isEqualTo(6);
+		this.readsDelegated = true;
+		runFor(1);
+		this.follower.applyRelayed(entry(5, "b", null));
+		this.follower.applyRelayed(entry(3, "b", "0"));
+		assertThat(this.received).containsExactly("a=1", "b=1", "b removed");
+		assertThat(this.topics.requestedOffsets).isEmpty();
+		assertThat(this.follower.knownEndOffset()).isEqualTo(6);
 	}
 
-	// The gateways that read die, or something that they passed on was lost. All that was
-	// missed meanwhile shows in a new listing, also that an endpoint is gone.
+	// When the readers die or a relayed record is lost, a new listing returns all missed
+	// changes, including the removal of an endpoint.
 	@Test
-	void listsAnewWhenNobodyReadsForItAnyMoreOrSomethingWasLost() {
+	void relistsWhenReadsAreNoLongerDelegatedOrARecordWasLost() {
 		this.topics.newest.add(page(2, entry(0, "a", "1"), entry(1, "b", "1")));
-		this.leftToOthers = true;
-		play(1);
+		this.readsDelegated = true;
+		runFor(1);
 		this.topics.newest.add(page(9, entry(8, "a", "2")));
-		this.leftToOthers = false;
+		this.readsDelegated = false;
 		advance(1);
-		assertThat(this.heard).containsExactly("a=1", "b=1", "a=2", "b missing");
-		this.leftToOthers = true;
+		assertThat(this.received).containsExactly("a=1", "b=1", "a=2", "b missing");
+		this.readsDelegated = true;
 		advance(1);
 		this.topics.newest.add(page(12, entry(11, "a", "3")));
-		this.follower.readAnew();
+		this.follower.requestRelisting();
 		advance(1);
-		assertThat(this.heard).contains("a=3");
+		assertThat(this.received).contains("a=3");
 	}
 
-	// Guards against a gateway that stood still and waits for its next turn to read.
+	// Guards against a gateway that was paused and waits for its next scheduled read.
 	@Test
-	void refreshesAtOnceThoughReadingIsLeftToOthers() {
+	void refreshesImmediatelyWhileReadsAreDelegated() {
 		this.topics.newest.add(page(1, entry(0, "a", "1")));
-		this.leftToOthers = true;
-		play(1);
+		this.readsDelegated = true;
+		runFor(1);
 		this.topics.newest.add(page(9, entry(8, "a", "2")));
 		this.follower.refresh();
-		assertThat(this.heard).containsExactly("a=1", "a=2");
+		assertThat(this.received).containsExactly("a=1", "a=2");
 		advance(1);
 		assertThat(this.topics.newest).isEmpty();
 	}
 
-	// Guards against an outage in which a fleet spends its calls on reads that fail: at
-	// 95
-	// gateways, hundreds a second.
+	// Guards against an outage in which a fleet spends its calls on failing reads:
+	// hundreds per second for 95 gateways.
 	@Test
-	void readsLessAndLessOftenWhileReadsFail() {
+	void backsOffWhileReadsFail() {
 		this.topics.newest.add(page(1, entry(0, "a", "1")));
 		this.maximumRetryDelay = Duration.ofSeconds(2);
 		for (int i = 0; i < 100; i++) {
 			this.topics.changes.add(null);
 		}
-		play(10);
-		assertThat(this.topics.asked).hasSizeBetween(6, 8);
+		runFor(10);
+		assertThat(this.topics.requestedOffsets).hasSizeBetween(6, 8);
 		this.maximumRetryDelay = Duration.ofMillis(250);
-		this.topics.asked.clear();
+		this.topics.requestedOffsets.clear();
 		advance(10);
-		assertThat(this.topics.asked).as("attempts of a gateway on which others rely").hasSizeBetween(30, 41);
+		assertThat(this.topics.requestedOffsets).as("attempts of a gateway on which others depend")
+			.hasSizeBetween(30, 41);
 	}
 
-	private void play(int seconds) {
+	private void runFor(int seconds) {
 		this.follower.start();
 		advance(seconds);
 	}
@@ -179,7 +179,7 @@
 	}
 
 	/**
-	 * A store that answers as a test wrote it down, and then that nothing is new.
+	 * A store that returns scripted pages, and then empty ones.
 	 */
 	private static final class ScriptedTopics implements SharedTopics {
 
@@ -187,7 +187,7 @@
 
 		private final List<@Nullable TopicPage> changes = new ArrayList<>();
 
-		private final List<Long> asked = new ArrayList<>();
+		private final List<Long> requestedOffsets = new ArrayList<>();
 
 		@Override
 		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
@@ -196,7 +196,7 @@
 
 		@Override
 		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
-			this.asked.add(from);
+			this.requestedOffsets.add(from);
 			if (this.changes.isEmpty()) {
 				return CompletableFuture.completedFuture(page(from));
 			}
