--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/AggregatorSelection.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/AggregatorSelection.java
@@ -7,86 +7,85 @@
 import java.util.Map;
 
 /**
- * Chooses the aggregators of a group: the gateways that rank highest, without those that
- * do not answer.
+ * Selects the aggregators of a group: the highest-ranked gateways that respond.
  * <p>
- * Every gateway ranks a group's members alike, so that no agreement is needed. One that
- * was asked and has not answered for a while is passed over and asked again now and then.
- * While none answers, the highest ranks are asked as before: their data centre may be cut
- * off, and the first of them to answer shows that it no longer is.
+ * Every gateway ranks the members of a group identically, so no consensus is required. A
+ * candidate that does not respond in time is skipped and probed periodically. If no
+ * member responds, the highest-ranked ones remain selected: their data centre may be
+ * partitioned, and the first response shows that the partition has ended.
  * <p>
- * Times are nanoseconds of the steady clock.
+ * Times are in nanoseconds of the monotonic clock.
  */
 public final class AggregatorSelection {
 
-	/** Aggregators of a group: with two, one may die and no report is missed. */
-	private static final int AGGREGATORS = 2;
+	/** Aggregators per group: with two, no report is lost if one fails. */
+	private static final int AGGREGATORS_PER_GROUP = 2;
 
-	/** Time without an answer after which a candidate is passed over. */
-	private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(900);
+	/** Time without a response after which a candidate is skipped. */
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(900);
 
-	/** Between two messages to a candidate that is passed over. */
+	/** Interval between two probes of a skipped candidate. */
 	private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
 
-	private final Map<String, Long> askedAt = new HashMap<>();
+	private final Map<String, Long> awaitingResponseSince = new HashMap<>();
 
 	private final Map<String, Long> probedAt = new HashMap<>();
 
 	private final String own;
 
 	/**
-	 * Creates the selection.
-	 * @param own the name of this gateway, which needs no answer of itself
+	 * Creates a selection.
+	 * @param own the name of this gateway, which always counts as responding
 	 */
 	public AggregatorSelection(String own) {
 		this.own = own;
 	}
 
 	/**
-	 * Records an answer.
+	 * Records a response.
 	 * @param name the gateway that sent it
 	 */
 	public void answered(String name) {
-		this.askedAt.remove(name);
+		this.awaitingResponseSince.remove(name);
 		this.probedAt.remove(name);
 	}
 
 	/**
-	 * Chooses the aggregators that are asked now.
-	 * @param ranked the members of a group, the highest rank first
-	 * @param now the present time
-	 * @return the aggregators, this gateway among them if it is one
+	 * Selects the current aggregators of a group.
+	 * @param ranked the members of the group, the highest rank first
+	 * @param now the current time
+	 * @return the aggregators, including this gateway if it is one of them
 	 */
 	public List<String> choose(List<String> ranked, long now) {
-		List<String> chosen = new ArrayList<>(
-				ranked.stream().filter((name) -> !silent(name, now)).limit(AGGREGATORS).toList());
+		List<String> selected = new ArrayList<>(
+				ranked.stream().filter((name) -> !isUnresponsive(name, now)).limit(AGGREGATORS_PER_GROUP).toList());
 		for (String name : ranked) {
-			if (chosen.size() >= AGGREGATORS) {
+			if (selected.size() >= AGGREGATORS_PER_GROUP) {
 				break;
 			}
-			if (!chosen.contains(name)) {
-				chosen.add(name);
+			if (!selected.contains(name)) {
+				selected.add(name);
 			}
 		}
-		chosen.forEach((name) -> this.askedAt.putIfAbsent(name, now));
-		return chosen;
+		selected.forEach((name) -> this.awaitingResponseSince.putIfAbsent(name, now));
+		return selected;
 	}
 
 	/**
-	 * Chooses the candidates that are passed over and are asked once more now.
-	 * @param ranked the members of a group, the highest rank first
-	 * @param chosen the group's aggregators
-	 * @param now the present time
-	 * @return the candidates
+	 * Returns the skipped candidates whose probe is due, and records the probe.
+	 * @param ranked the members of the group, the highest rank first
+	 * @param selected the group's aggregators
+	 * @param now the current time
+	 * @return the candidates to probe
 	 */
-	public List<String> probe(List<String> ranked, List<String> chosen, long now) {
+	public List<String> probe(List<String> ranked, List<String> selected, long now) {
 		List<String> due = new ArrayList<>();
 		for (String name : ranked) {
-			if (name.equals(chosen.getLast())) {
+			if (name.equals(selected.getLast())) {
 				break;
 			}
 			long probed = this.probedAt.getOrDefault(name, now - PROBE_INTERVAL.toNanos());
-			if (!chosen.contains(name) && now - probed >= PROBE_INTERVAL.toNanos()) {
+			if (!selected.contains(name) && now - probed >= PROBE_INTERVAL.toNanos()) {
 				this.probedAt.put(name, now);
 				due.add(name);
 			}
@@ -94,9 +93,9 @@
 		return due;
 	}
 
-	private boolean silent(String name, long now) {
-		Long asked = this.askedAt.get(name);
-		return !name.equals(this.own) && asked != null && now - asked > ANSWER_TIMEOUT.toNanos();
+	private boolean isUnresponsive(String name, long now) {
+		Long awaitingSince = this.awaitingResponseSince.get(name);
+		return !name.equals(this.own) && awaitingSince != null && now - awaitingSince > RESPONSE_TIMEOUT.toNanos();
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/SummarySource.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/AggregatorSummaries.java
@@ -10,39 +10,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The summaries of the same gateways by several aggregators.
+ * The summaries that several aggregators report of the same gateways.
  */
-final class SummarySource {
+final class AggregatorSummaries {
 
 	private final Map<Long, Received> newest = new HashMap<>();
 
-	private final UsedProgress progress;
+	private final QuotaUsageReconciler reconciler;
 
-	SummarySource(Duration reachableTimeout) {
-		this.progress = new UsedProgress(reachableTimeout);
+	AggregatorSummaries(Duration reachableTimeout) {
+		this.reconciler = new QuotaUsageReconciler(reachableTimeout);
 	}
 
 	/**
 	 * Records a summary.
 	 * @param summary the summary
-	 * @param used what was accepted, by client account
-	 * @param now when it was received
-	 * @return what is to be charged
+	 * @param used the quota used by its gateways, by client account
+	 * @param now the time of receipt
+	 * @return the quota use to charge, by client account
 	 */
 	Map<AccountName, Double> read(FleetSummary summary, Map<AccountName, Double> used, long now) {
 		this.newest.put(summary.incarnation(), new Received(summary, now));
-		return this.progress.update(summary.incarnation(), used, now);
+		return this.reconciler.update(summary.incarnation(), used, now);
 	}
 
 	/**
-	 * Returns the summary to go by: of the aggregators that respond, the one that most
-	 * gateways report to.
-	 * @param now the present time
-	 * @param responseTimeout time without a summary after which an aggregator does not
-	 * respond
+	 * Returns the preferred summary: from the responding aggregator to which the most
+	 * gateways report.
+	 * @param now the current time
+	 * @param responseTimeout the time without a summary after which an aggregator is
+	 * considered unresponsive
 	 * @return the summary, or {@code null} if there is none
 	 */
-	@Nullable Received best(long now, Duration responseTimeout) {
+	@Nullable Received preferred(long now, Duration responseTimeout) {
 		Comparator<Received> order = Comparator
 			.comparing((Received received) -> now - received.at() < responseTimeout.toNanos())
 			.thenComparing((received) -> received.summary().reachable())
@@ -58,7 +58,7 @@
 			.toList();
 		for (Long sender : expired) {
 			this.newest.remove(sender);
-			this.progress.forget(sender);
+			this.reconciler.removeSender(sender);
 		}
 	}
 
@@ -67,10 +67,10 @@
 	}
 
 	/**
-	 * A summary that was received.
+	 * A received summary.
 	 *
 	 * @param summary the summary
-	 * @param at when, on the steady clock
+	 * @param at the time of receipt, in ns of the monotonic clock
 	 */
 	record Received(FleetSummary summary, long at) {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DataCenterFailureDetector.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DataCenterFailureDetector.java
@@ -12,45 +12,45 @@
 import org.banyancove.gateway.endpoint.EndpointEntry;
 
 /**
- * The data centres whose endpoints all fell out of the list without having said that they
- * leave.
+ * Detects data centres whose endpoints all disappeared from the list without draining.
  * <p>
- * A data centre is cut off for some seconds, and its endpoints cannot write their
- * entries. They run on and are back when the cut ends. Endpoints that were ordered there
- * meanwhile would be as unreachable, and orders of fewer would take away those that run.
+ * During a network partition of some seconds, the endpoints of a data centre cannot renew
+ * their entries. They keep running and are listed again when the partition ends.
+ * Endpoints ordered there during the partition would be unreachable too, and lower orders
+ * would stop the running ones.
  */
 final class DataCenterFailureDetector {
 
 	/**
-	 * How long missing entries are taken for a cut: longer than cuts usually last.
-	 * Endpoints that were lost for good are ordered anew after it.
+	 * Time for which missing entries are attributed to a network partition: longer than
+	 * partitions usually last. Endpoints that are permanently lost are replaced after it.
 	 */
-	private static final Duration MAXIMUM_CUT = Duration.ofSeconds(10);
+	private static final Duration PARTITION_TIMEOUT = Duration.ofSeconds(10);
 
 	private final Set<DataCenterName> serving = new HashSet<>();
 
 	private final Map<DataCenterName, Long> unreachableSince = new HashMap<>();
 
 	/**
-	 * Records the list of endpoints.
-	 * @param listed the endpoints
-	 * @param dataCenters the data centres that may have some
-	 * @param now the present time
-	 * @return the data centres that may be cut off
+	 * Applies a new list of endpoints.
+	 * @param listed the listed endpoints
+	 * @param dataCenters the data centres that may contain endpoints
+	 * @param now the current time, in ns of the monotonic clock
+	 * @return the data centres that may be unreachable
 	 */
 	Set<DataCenterName> update(Collection<EndpointEntry> listed, List<DataCenterName> dataCenters, long now) {
 		Set<DataCenterName> unreachable = new HashSet<>();
 		for (DataCenterName dataCenter : dataCenters) {
-			List<EndpointEntry> here = listed.stream().filter((entry) -> entry.zone().equals(dataCenter)).toList();
-			if (here.stream().anyMatch((entry) -> !entry.draining())) {
+			List<EndpointEntry> entries = listed.stream().filter((entry) -> entry.zone().equals(dataCenter)).toList();
+			if (entries.stream().anyMatch((entry) -> !entry.draining())) {
 				this.serving.add(dataCenter);
 				this.unreachableSince.remove(dataCenter);
 			}
-			else if (!here.isEmpty()) {
+			else if (!entries.isEmpty()) {
 				this.serving.remove(dataCenter);
 			}
-			else if (this.serving.contains(dataCenter)
-					&& now - this.unreachableSince.computeIfAbsent(dataCenter, (name) -> now) < MAXIMUM_CUT.toNanos()) {
+			else if (this.serving.contains(dataCenter) && now
+					- this.unreachableSince.computeIfAbsent(dataCenter, (name) -> now) < PARTITION_TIMEOUT.toNanos()) {
 				unreachable.add(dataCenter);
 			}
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DataCenterPresence.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DataCenterPresence.java
@@ -3,17 +3,17 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * The gateways of a data centre, as one gateway knows them.
+ * The gateways of a data centre, as observed by one gateway.
  *
  * @param dataCenter the data centre
- * @param gateways the gateways that belong to the fleet
- * @param reachable those whose reports arrive
- * @param responding whether one of them reported within the failure detection timeout
+ * @param gateways the number of gateways that belong to the fleet
+ * @param reachable the number of gateways whose reports are received
+ * @param responding whether any of them reported within the failure detection timeout
  */
 public record DataCenterPresence(DataCenterName dataCenter, int gateways, int reachable, boolean responding) {
 
 	/**
-	 * Creates the presence.
+	 * Creates a presence.
 	 * @throws IllegalArgumentException if {@code reachable} is negative or above
 	 * {@code gateways}
 	 */
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Adds gateways of the same data centre.
-	 * @param other the other gateways
+	 * Adds other gateways of the same data centre.
+	 * @param other the presence to add
 	 * @return the sum
 	 */
 	DataCenterPresence plus(DataCenterPresence other) {
@@ -34,18 +34,18 @@
 	}
 
 	/**
-	 * Returns the same gateways as of a report that is out of date.
-	 * @return none of them reachable
+	 * Returns the same gateways for an expired report.
+	 * @return the presence, with no gateway reachable
 	 */
 	DataCenterPresence stale() {
 		return new DataCenterPresence(this.dataCenter, this.gateways, 0, false);
 	}
 
 	/**
-	 * Returns the gateways without one that is reachable.
-	 * @return the rest
+	 * Subtracts one reachable gateway.
+	 * @return the remaining gateways
 	 */
-	DataCenterPresence withoutOne() {
+	DataCenterPresence minusOne() {
 		return new DataCenterPresence(this.dataCenter, Math.max(0, this.gateways - 1), Math.max(0, this.reachable - 1),
 				this.responding);
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DemandEstimator.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DemandEstimator.java
@@ -6,53 +6,55 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * The engine time that this gateway's requests need, a second, by service.
+ * Estimates the engine time per second that this gateway's requests require, by service.
  * <p>
- * Requests that were rejected for want of endpoints count too: they show what is missing.
+ * Requests rejected for lack of endpoints are included, since they indicate missing
+ * capacity.
  */
 public final class DemandEstimator {
 
 	/**
-	 * How fast past work loses weight, in s: short enough to show the start of a burst.
+	 * Time constant of the exponential decay, in s: short enough to react to the start of
+	 * a burst.
 	 */
-	private static final double LIFE_SECONDS = 2;
+	private static final double DECAY_SECONDS = 2;
 
-	private final Map<ServiceName, Mean> means = new HashMap<>();
+	private final Map<ServiceName, DecayingRate> rates = new HashMap<>();
 
 	/**
-	 * Counts a request.
+	 * Adds a request.
 	 * @param service its service
-	 * @param millis the engine time that it needs, in ms
-	 * @param now the present time, in ns of the steady clock
+	 * @param millis the engine time that it requires, in ms
+	 * @param now the current time, in ns of the monotonic clock
 	 */
 	public void add(ServiceName service, double millis, long now) {
-		this.means.computeIfAbsent(service, (name) -> new Mean()).add(millis, now);
+		this.rates.computeIfAbsent(service, (name) -> new DecayingRate()).add(millis, now);
 	}
 
 	/**
-	 * Returns the engine time that is needed of each service.
-	 * @param now the present time, in ns of the steady clock
-	 * @return milliseconds a second
+	 * Returns the engine time required by each service.
+	 * @param now the current time, in ns of the monotonic clock
+	 * @return the engine time in ms per second, by service
 	 */
 	public Map<ServiceName, Double> perService(long now) {
 		Map<ServiceName, Double> all = new HashMap<>();
-		this.means.forEach((service, mean) -> all.put(service, mean.at(now)));
+		this.rates.forEach((service, rate) -> all.put(service, rate.at(now)));
 		return all;
 	}
 
-	private static final class Mean {
+	private static final class DecayingRate {
 
 		private double value;
 
 		private long updatedAt;
 
 		void add(double millis, long now) {
-			this.value = at(now) + millis / LIFE_SECONDS;
+			this.value = at(now) + millis / DECAY_SECONDS;
 			this.updatedAt = now;
 		}
 
 		double at(long now) {
-			return this.value * Math.exp(-Math.max(0, now - this.updatedAt) / (LIFE_SECONDS * 1e9));
+			return this.value * Math.exp(-Math.max(0, now - this.updatedAt) / (DECAY_SECONDS * 1e9));
 		}
 
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/EndpointLoad.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/EndpointLoad.java
@@ -1,19 +1,20 @@
 package org.banyancove.gateway.duty;
 
 /**
- * What one gateway has at an endpoint.
+ * The load of one gateway at an endpoint.
  *
- * @param inFlight its requests there
- * @param pendingPrefillTokens the prompt tokens of theirs that are still to be read
+ * @param inFlight the number of requests in flight
+ * @param pendingPrefillTokens the number of their prompt tokens still to be prefilled
  */
 public record EndpointLoad(int inFlight, long pendingPrefillTokens) {
 
-	/** Nothing. */
+	/** No load. */
 	public static final EndpointLoad NONE = new EndpointLoad(0, 0);
 
 	/**
-	 * Creates the load.
-	 * @throws IllegalArgumentException if a figure is negative
+	 * Creates a load.
+	 * @throws IllegalArgumentException if {@code inFlight} or
+	 * {@code pendingPrefillTokens} is negative
 	 */
 	public EndpointLoad {
 		if (inFlight < 0 || pendingPrefillTokens < 0) {
@@ -24,7 +25,7 @@
 
 	/**
 	 * Adds another load.
-	 * @param other the other load
+	 * @param other the load to add
 	 * @return the sum
 	 */
 	public EndpointLoad plus(EndpointLoad other) {
@@ -33,8 +34,8 @@
 
 	/**
 	 * Subtracts a part of this load.
-	 * @param part the part, which may have been reported at another moment
-	 * @return what is left, never negative
+	 * @param part the part, which may have been reported at a different time
+	 * @return the remaining load, never negative
 	 */
 	public EndpointLoad minus(EndpointLoad part) {
 		return new EndpointLoad(Math.max(0, this.inFlight - part.inFlight),
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
@@ -15,16 +15,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Adds up reports and summaries into one summary.
+ * Aggregates gateway reports and group summaries into one summary.
  */
 final class FleetAggregation {
 
-	/** Readers named in a summary: one more than are needed. */
+	/** Readers listed in a summary: one more than are required. */
 	private static final int MAXIMUM_READERS = 4;
 
 	private final Map<DataCenterName, DataCenterPresence> presence = new HashMap<>();
 
-	private final Map<ServiceName, Double> work = new HashMap<>();
+	private final Map<ServiceName, Double> demand = new HashMap<>();
 
 	private final Map<EndpointId, EndpointLoad> loads = new HashMap<>();
 
@@ -39,11 +39,11 @@
 	private KnownState known = KnownState.NONE;
 
 	/**
-	 * Adds a gateway.
+	 * Adds the report of a gateway.
 	 * @param report its newest report
-	 * @param fresh whether its loads still count
+	 * @param fresh whether its loads have not expired
 	 * @param responding whether it reported within the failure detection timeout
-	 * @param elapsed since it was received
+	 * @param elapsed the time since the report was received
 	 */
 	void add(GatewayReport report, boolean fresh, boolean responding, Duration elapsed) {
 		addPresence(new DataCenterPresence(report.dataCenter(), 1, fresh ? 1 : 0, responding));
@@ -53,16 +53,16 @@
 		}
 		if (responding && report.known().reads()) {
 			this.readers.add(report.incarnation());
-			addKnown(report.known().after(elapsed));
+			updateKnown(report.known().aged(elapsed));
 		}
 	}
 
 	/**
-	 * Adds a group.
+	 * Adds the summary of a group.
 	 * @param summary its newest summary
-	 * @param fresh whether its loads still count
-	 * @param responding whether it was reported within the failure detection timeout
-	 * @param elapsed since it was received
+	 * @param fresh whether its loads have not expired
+	 * @param responding whether it was received within the failure detection timeout
+	 * @param elapsed the time since the summary was received
 	 */
 	void add(FleetSummary summary, boolean fresh, boolean responding, Duration elapsed) {
 		FleetSummary current = fresh ? summary : summary.stale();
@@ -74,20 +74,20 @@
 		this.leaseHolder = (current.leaseHolder() != 0) ? current.leaseHolder() : this.leaseHolder;
 		if (responding) {
 			this.readers.addAll(current.readers());
-			addKnown(current.known().after(elapsed));
+			updateKnown(current.known().aged(elapsed));
 		}
 	}
 
 	/**
-	 * Subtracts a gateway that was counted.
-	 * @param report what it reported
+	 * Subtracts a gateway that is included in the sums.
+	 * @param report its report
 	 */
 	void remove(GatewayReport report) {
-		this.presence.computeIfPresent(report.dataCenter(), (name, part) -> part.withoutOne());
+		this.presence.computeIfPresent(report.dataCenter(), (name, part) -> part.minusOne());
 		report.traffic()
 			.work()
-			.forEach(
-					(service, millis) -> this.work.computeIfPresent(service, (name, sum) -> Math.max(0, sum - millis)));
+			.forEach((service, millis) -> this.demand.computeIfPresent(service,
+					(name, sum) -> Math.max(0, sum - millis)));
 		report.traffic()
 			.loads()
 			.forEach((endpoint, load) -> this.loads.computeIfPresent(endpoint, (name, sum) -> sum.minus(load)));
@@ -101,7 +101,7 @@
 	}
 
 	private void addTraffic(TrafficTotals traffic, Duration elapsed) {
-		traffic.work().forEach((service, millis) -> this.work.merge(service, millis, Double::sum));
+		traffic.work().forEach((service, millis) -> this.demand.merge(service, millis, Double::sum));
 		traffic.loads().forEach((endpoint, load) -> this.loads.merge(endpoint, load, EndpointLoad::plus));
 		this.rollouts = this.rollouts.plus(traffic.rollouts());
 		traffic.rateLimits()
@@ -109,26 +109,26 @@
 					ObservedRateLimit::newerOf));
 	}
 
-	private void addKnown(KnownState candidate) {
-		if (candidate.reads() && (!this.known.reads() || candidate.newerThan(this.known))) {
+	private void updateKnown(KnownState candidate) {
+		if (candidate.reads() && (!this.known.reads() || candidate.isNewerThan(this.known))) {
 			this.known = candidate;
 		}
 	}
 
 	/**
-	 * Returns the sums.
-	 * @param incarnation the process that adds them up
-	 * @param group the group, or {@code null} for the whole fleet
-	 * @param counts the requests that began to run, by usage window and client account
-	 * @param used what was accepted, by client account
+	 * Returns the aggregated summary.
+	 * @param incarnation the incarnation of the aggregating process
+	 * @param group the group, or {@code null} for the entire fleet
+	 * @param counts the number of requests started, by usage window and client account
+	 * @param used the quota used, by client account
 	 * @return the summary
 	 */
 	FleetSummary summary(long incarnation, @Nullable String group, Map<Long, Map<AccountName, Long>> counts,
 			Map<AccountName, Double> used) {
-		List<Long> lowest = this.readers.stream().limit(MAXIMUM_READERS).toList();
+		List<Long> lowestReaders = this.readers.stream().limit(MAXIMUM_READERS).toList();
 		return new FleetSummary(incarnation, group, List.copyOf(this.presence.values()),
-				new TrafficTotals(counts, used, this.work, this.loads, this.rollouts, this.rateLimits),
-				this.leaseHolder, this.known, lowest);
+				new TrafficTotals(counts, used, this.demand, this.loads, this.rollouts, this.rateLimits),
+				this.leaseHolder, this.known, lowestReaders);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetSummary.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetSummary.java
@@ -5,21 +5,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an aggregator reports of a group of gateways, or of the whole fleet.
+ * An aggregator's summary of a group of gateways or of the entire fleet.
  *
- * @param incarnation the aggregator's process
- * @param group the group, or {@code null} for the whole fleet
+ * @param incarnation the incarnation of the aggregator's process
+ * @param group the group, or {@code null} for the entire fleet
  * @param presence the gateways by data centre
- * @param traffic the sums of their traffic
- * @param leaseHolder the process that does the shared duties, 0 if none is known
- * @param known what the reader knows whose state is most recent
- * @param readers the processes that read the store, the lowest first
+ * @param traffic their aggregated traffic
+ * @param leaseHolder the incarnation of the holder of the lease, 0 if none is known
+ * @param known the most recent shared state of any gateway that reads the store
+ * @param readers the incarnations of the processes that read the store, the lowest first
  */
 public record FleetSummary(long incarnation, @Nullable String group, List<DataCenterPresence> presence,
 		TrafficTotals traffic, long leaseHolder, KnownState known, List<Long> readers) {
 
 	/**
-	 * Creates the summary.
+	 * Creates a summary.
 	 */
 	public FleetSummary {
 		presence = List.copyOf(presence);
@@ -35,8 +35,7 @@
 	}
 
 	/**
-	 * Returns the same gateways as of a summary that is out of date: their number still
-	 * counts, nothing else of them does.
+	 * Returns this summary after its expiry: only the number of gateways is retained.
 	 * @return the stale summary
 	 */
 	FleetSummary stale() {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetView.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetView.java
@@ -12,46 +12,48 @@
 import org.banyancove.gateway.rollout.RolloutReport;
 
 /**
- * What a gateway knows of the others at one moment.
+ * A gateway's view of the other gateways at one point in time.
  *
- * @param others the other gateways of the fleet
- * @param reachableShare the part of the fleet that is reachable, this gateway included
- * @param unreachableDataCenters the other data centres none of whose gateways responds
- * @param loads what the others have at endpoints
- * @param work the engine time that the others' requests need, in ms a second, by service
- * @param rollouts what the others report of rollouts
- * @param rateLimits the newest rate limits that endpoints named to any gateway
- * @param leaseHeld whether another gateway does the shared duties
- * @param known what the reader knows whose state is most recent
- * @param readers the processes that read the store, the lowest first
- * @param aggregates whether the gateway itself is an aggregator of its group
+ * @param others the number of other gateways in the fleet
+ * @param reachableShare the fraction of the fleet that is reachable, including this
+ * gateway
+ * @param unreachableDataCenters the other data centres without a responding gateway
+ * @param loads the load of the other gateways at each endpoint
+ * @param work the engine time required by the other gateways' requests, in ms per second,
+ * by service
+ * @param rollouts the rollout samples of the other gateways
+ * @param rateLimits the newest rate limits that endpoints reported to any gateway
+ * @param leaseHeld whether another gateway holds the lease of the fleet-wide duties
+ * @param known the most recent shared state of any gateway that reads the store
+ * @param readers the incarnations of the processes that read the store, the lowest first
+ * @param aggregates whether this gateway is an aggregator of its group
  */
 public record FleetView(int others, double reachableShare, Set<DataCenterName> unreachableDataCenters,
 		Map<EndpointId, EndpointLoad> loads, Map<ServiceName, Double> work, RolloutReport rollouts,
 		Map<EndpointId, ObservedRateLimit> rateLimits, boolean leaseHeld, KnownState known, List<Long> readers,
 		boolean aggregates) {
 
-	/** Of a gateway that knows no other one. */
+	/** The view of a gateway without known peers. */
 	public static final FleetView ALONE = new FleetView(0, 1, Set.of(), Map.of(), Map.of(), RolloutReport.NONE,
 			Map.of(), false, KnownState.NONE, List.of(), true);
 
 	/**
-	 * Gateways that read the store for all: with three, two may die at the same moment,
-	 * or be slow, and changes still arrive in time.
+	 * Gateways that read the store on behalf of the fleet: with three, changes still
+	 * arrive in time if two fail at once or are slow.
 	 */
-	private static final int READERS = 3;
+	private static final int REQUIRED_READERS = 3;
 
 	/**
-	 * Returns the view of a gateway.
-	 * @param others the summary of the others
-	 * @param own the gateway's data centre
+	 * Creates the view of a gateway.
+	 * @param others the summary of the other gateways
+	 * @param ownDataCenter the gateway's data centre
 	 * @param aggregates whether it is an aggregator of its group
 	 * @return the view
 	 */
-	static FleetView of(FleetSummary others, DataCenterName own, boolean aggregates) {
+	static FleetView of(FleetSummary others, DataCenterName ownDataCenter, boolean aggregates) {
 		Set<DataCenterName> unreachable = new HashSet<>();
 		for (DataCenterPresence part : others.presence()) {
-			if (part.gateways() > 0 && !part.responding() && !part.dataCenter().equals(own)) {
+			if (part.gateways() > 0 && !part.responding() && !part.dataCenter().equals(ownDataCenter)) {
 				unreachable.add(part.dataCenter());
 			}
 		}
@@ -62,24 +64,24 @@
 
 	/**
 	 * Returns whether any other gateway is reachable.
-	 * @return whether one is
+	 * @return {@code true} if at least one is reachable
 	 */
 	public boolean hearsOthers() {
 		return this.reachableShare * (this.others + 1) > 1;
 	}
 
 	/**
-	 * Returns whether enough others read the store, so that a gateway need not.
+	 * Returns whether enough other gateways read the store on behalf of this one.
 	 * <p>
-	 * Each gateway that polls costs calls, which are paid for and bounded; at 810
-	 * gateways the store's bound would be spent on polling alone. The aggregators with
-	 * the lowest identifiers read, as all compute alike; a gateway that knows too few
-	 * readers reads for itself.
+	 * Polling calls are billed and rate limited; at 810 gateways, polling alone would
+	 * consume the store's limit. The aggregators with the lowest incarnations read, which
+	 * every gateway computes identically. A gateway that knows too few readers reads the
+	 * store itself.
 	 * @param own the gateway's incarnation
-	 * @return whether reading is left to others
+	 * @return {@code true} if this gateway does not need to read the store
 	 */
 	public boolean readingIsLeftToOthers(long own) {
-		return this.readers.stream().filter((reader) -> !this.aggregates || reader < own).count() >= READERS;
+		return this.readers.stream().filter((reader) -> !this.aggregates || reader < own).count() >= REQUIRED_READERS;
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/GatewayReport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/GatewayReport.java
@@ -3,14 +3,14 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * What a gateway reports of itself a few times a second: to the aggregators of its group,
- * or in a small fleet to all others.
+ * The report that a gateway sends several times per second to the aggregators of its
+ * group, or to all other gateways in a small fleet.
  *
- * @param incarnation its process
+ * @param incarnation the incarnation of its process
  * @param dataCenter its data centre
  * @param traffic its traffic
- * @param holdsLease whether it does the shared duties
- * @param known how far it knows shared state
+ * @param holdsLease whether it holds the lease of the fleet-wide duties
+ * @param known the version of the shared state that it has applied
  */
 public record GatewayReport(long incarnation, DataCenterName dataCenter, TrafficTotals traffic, boolean holdsLease,
 		KnownState known) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/KnownState.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/KnownState.java
@@ -3,59 +3,60 @@
 import java.time.Duration;
 
 /**
- * How far a gateway knows shared state, by which others see whether they know as much.
+ * The version of the shared state that a gateway has applied; lets other gateways detect
+ * whether theirs is stale.
  *
- * @param reads whether it reads the store itself, and did so of late
- * @param endpointsNext up to where it knows the endpoints' topic
- * @param endpointsDigest a sum over all endpoints that are listed, as it knows them
- * @param endpointsAge since the store was last asked for what it knows of endpoints
- * @param configurationOffset the place of the configuration that it has applied, -1 for
- * none
+ * @param reads whether the gateway reads the store itself and did so recently
+ * @param endpointsNext the next offset to read in the endpoints topic
+ * @param endpointsDigest a digest of all listed endpoints
+ * @param endpointsAge the time since the endpoints were last read from the store
+ * @param configurationOffset the offset of the applied configuration, -1 for none
  */
 public record KnownState(boolean reads, long endpointsNext, long endpointsDigest, Duration endpointsAge,
 		long configurationOffset) {
 
-	/** The age of endpoints that were never read. */
+	/** Age of endpoints that were never read. */
 	public static final Duration UNKNOWN_AGE = Duration.ofDays(1);
 
-	/** Nothing. */
+	/** No shared state. */
 	public static final KnownState NONE = new KnownState(false, 0, 0, UNKNOWN_AGE, -1);
 
 	/**
-	 * Returns whether another gateway knows of endpoints what this one has missed.
-	 * @param other what the other one knows
-	 * @return whether the other one is at least as far and knows something else
+	 * Returns whether this gateway has missed changes of endpoints that another one has
+	 * applied.
+	 * @param other the state of the other gateway
+	 * @return {@code true} if the other offset is not lower and the digests differ
 	 */
 	public boolean missesEndpointsOf(KnownState other) {
 		return other.endpointsNext >= this.endpointsNext && other.endpointsDigest != this.endpointsDigest;
 	}
 
 	/**
-	 * Returns whether another gateway's newest read confirms what this one knows of
-	 * endpoints.
-	 * @param other what the other one knows
-	 * @return whether the other one reads the store and knows the same endpoints
+	 * Returns whether another gateway's newest read confirms the endpoints of this one.
+	 * @param other the state of the other gateway
+	 * @return {@code true} if the other gateway reads the store and the digests are equal
 	 */
 	public boolean confirmedBy(KnownState other) {
 		return other.reads && other.endpointsDigest == this.endpointsDigest;
 	}
 
 	/**
-	 * Returns whether this state is more recent than another.
+	 * Returns whether this state is newer than another.
 	 * @param other the other state
-	 * @return whether it is further in the topic, or as far and younger
+	 * @return {@code true} if its offset is higher, or the offsets are equal and its age
+	 * is lower
 	 */
-	boolean newerThan(KnownState other) {
+	boolean isNewerThan(KnownState other) {
 		return (this.endpointsNext != other.endpointsNext) ? this.endpointsNext > other.endpointsNext
 				: this.endpointsAge.compareTo(other.endpointsAge) < 0;
 	}
 
 	/**
-	 * Returns the same state after some time.
-	 * @param elapsed the time since it was reported
-	 * @return the state, older by that time
+	 * Returns this state with its age increased.
+	 * @param elapsed the time since the state was reported
+	 * @return the aged state
 	 */
-	KnownState after(Duration elapsed) {
+	KnownState aged(Duration elapsed) {
 		return new KnownState(this.reads, this.endpointsNext, this.endpointsDigest, this.endpointsAge.plus(elapsed),
 				this.configurationOffset);
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseKeeper.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseKeeper.java
@@ -7,34 +7,43 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps at most one gateway at the shared duties, by conditional appends to a topic.
+ * Elects at most one gateway to perform the fleet-wide duties, by conditional appends to
+ * a topic.
  * <p>
- * A claim is appended only where the topic still ends as the claimant saw it, so of two
- * claimants one fails. The fence is the claim's place in the topic, which never repeats
- * and only grows. A holder counts its lease from before it sent a renewal, the others
- * count from when they read it, and wait longer: a holder that is cut off stops first.
+ * A claim is appended only if the topic still ends at the offset that the claimant read,
+ * so one of two concurrent claimants fails. The fence is the offset of the claim plus
+ * one; it is unique and increases monotonically. The holder measures its lease from the
+ * moment before it sent a renewal. The other gateways measure from the moment they read
+ * the renewal and wait longer, so a partitioned holder stops before a successor starts.
  * <p>
- * Pure: times are nanoseconds of the steady clock and are passed in.
+ * Performs no I/O and reads no clock: times are passed in, in nanoseconds of the
+ * monotonic clock.
  */
 public final class LeaseKeeper {
 
 	/**
-	 * Part of the lease that a holder uses; the rest is for a call on its way and slow
-	 * clocks.
+	 * Fraction of the lease for which the holder acts. The remainder covers calls in
+	 * flight and clock drift.
 	 */
-	private static final double SHARE_HELD = 0.6;
+	private static final double HOLDING_FRACTION = 0.6;
 
-	/** Part of the lease after which a holder renews: twice before it would stop. */
-	private static final double SHARE_RENEWED = 0.3;
+	/**
+	 * Fraction of the lease after which the holder renews: allows two attempts before it
+	 * stops.
+	 */
+	private static final double RENEWAL_FRACTION = 0.3;
 
-	/** How long the others wait, in leases: the holder has stopped well before. */
-	private static final double TAKEOVER_LEASES = 1.3;
+	/**
+	 * Time that the other gateways wait before a takeover, in leases: the holder has
+	 * stopped well before.
+	 */
+	private static final double TAKEOVER_TIMEOUT_LEASES = 1.3;
 
 	/**
-	 * How long one that lost the duties stays away, in leases: a holder that returns at
-	 * once would have two holders act by turns.
+	 * Time for which a gateway that lost the lease does not claim it, in leases: an
+	 * immediate claim would let two holders act alternately.
 	 */
-	private static final double AWAY_LEASES = 2;
+	private static final double CLAIM_BACKOFF_LEASES = 2;
 
 	private final String name;
 
@@ -42,200 +51,205 @@
 
 	private final long leaseNanos;
 
-	private final double spread;
+	private final double takeoverJitterLeases;
 
-	private @Nullable LeaseRecord seen;
+	private @Nullable LeaseRecord newestRecord;
 
-	private long seenAt;
+	private long newestRecordReadAt;
 
-	private long end = -1;
+	private long topicEnd = -1;
 
 	private long fence;
 
 	private long heldUntil;
 
-	private long awayUntil;
+	private long claimBackoffUntil;
 
-	private @Nullable LeaseRecord claiming;
+	private @Nullable LeaseRecord pendingRecord;
 
-	private long claimedAt;
+	private long pendingSince;
 
 	/**
-	 * Creates the keeper.
+	 * Creates a lease keeper that does not hold the lease.
 	 * @param name the gateway's name
-	 * @param incarnation this process
-	 * @param lease the length of a lease
-	 * @param draw a random number from 0 to 1, by which claimants spread out
-	 * @param now the present time
+	 * @param incarnation the incarnation of this process
+	 * @param lease the duration of a lease
+	 * @param jitter a random number from 0 to 1 that spreads the claims of the gateways
+	 * @param now the current time
 	 */
-	public LeaseKeeper(String name, long incarnation, Duration lease, double draw, long now) {
+	public LeaseKeeper(String name, long incarnation, Duration lease, double jitter, long now) {
 		this.name = name;
 		this.incarnation = incarnation;
 		this.leaseNanos = lease.toNanos();
-		this.spread = draw * 0.3;
-		this.seenAt = now;
-		this.awayUntil = now;
+		this.takeoverJitterLeases = jitter * 0.3;
+		this.newestRecordReadAt = now;
+		this.claimBackoffUntil = now;
 		this.heldUntil = now;
 	}
 
 	/**
-	 * Applies a record of the topic.
+	 * Applies a record read from the topic; a record with a lower fence than the newest
+	 * one is ignored.
 	 * @param record the record
-	 * @param now when it was read
+	 * @param now the time at which it was read
 	 */
 	public void read(LeaseRecord record, long now) {
-		LeaseRecord before = this.seen;
-		if (before != null && record.fence() < before.fence()) {
+		LeaseRecord previous = this.newestRecord;
+		if (previous != null && record.fence() < previous.fence()) {
 			return;
 		}
-		this.seen = record;
-		this.seenAt = now;
+		this.newestRecord = record;
+		this.newestRecordReadAt = now;
 		if (record.incarnation() == this.incarnation) {
-			this.fence = (now < this.awayUntil) ? 0 : record.fence();
+			this.fence = (now < this.claimBackoffUntil) ? 0 : record.fence();
 		}
 		else if (this.fence != 0) {
-			lose(now);
+			releaseLease(now);
 		}
 	}
 
 	/**
-	 * Records where the topic ends.
-	 * @param newEnd the offset after its last record
+	 * Records the end of the topic; a lower offset than the known one is ignored.
+	 * @param newEnd the offset after the last record
 	 */
 	public void ends(long newEnd) {
-		this.end = Math.max(this.end, newEnd);
+		this.topicEnd = Math.max(this.topicEnd, newEnd);
 	}
 
 	/**
-	 * Gives the duties up, after a sign that this process stood still. The steady clock
-	 * may not show for how long, so that an answer to an append that was on its way says
-	 * nothing about the lease either.
-	 * @param now the present time
+	 * Releases the lease after a process pause was detected. The monotonic clock may not
+	 * include the pause, so the response to an append in flight does not prove that the
+	 * lease is held either.
+	 * @param now the current time
 	 */
 	public void stoodStill(long now) {
-		if (this.fence != 0 || this.claiming != null) {
-			lose(now);
+		if (this.fence != 0 || this.pendingRecord != null) {
+			releaseLease(now);
 		}
 	}
 
-	private void lose(long now) {
-		this.claiming = null;
-		this.end = -1;
+	private void releaseLease(long now) {
+		this.pendingRecord = null;
+		this.topicEnd = -1;
 		this.fence = 0;
 		this.heldUntil = now;
-		this.awayUntil = now + (long) (this.leaseNanos * AWAY_LEASES);
+		this.claimBackoffUntil = now + (long) (this.leaseNanos * CLAIM_BACKOFF_LEASES);
 	}
 
 	/**
-	 * Returns whether this gateway may do the duties now.
-	 * @param now the present time
-	 * @return whether its lease holds
+	 * Returns whether this gateway may perform the fleet-wide duties.
+	 * @param now the current time
+	 * @return {@code true} if this gateway holds an unexpired lease
 	 */
 	public boolean holds(long now) {
 		return this.fence != 0 && now < this.heldUntil;
 	}
 
 	/**
-	 * Returns the fence of the lease.
-	 * @return the fence
+	 * Returns the fence of this gateway's lease.
+	 * @return the fence, or 0 if it has no lease
 	 */
 	public long fence() {
 		return this.fence;
 	}
 
 	/**
-	 * Returns the reports that the newest record names.
-	 * @return the reports
+	 * Returns the usage reports of the newest record.
+	 * @return the reports, empty if no record was read
 	 */
 	public List<UsageReport> reports() {
-		return (this.seen != null) ? this.seen.reports() : List.of();
+		return (this.newestRecord != null) ? this.newestRecord.reports() : List.of();
 	}
 
 	/**
-	 * Returns the rollouts that the newest record names.
-	 * @return the rollouts
+	 * Returns the rollouts of the newest record.
+	 * @return the rollouts, empty if no record was read
 	 */
 	public List<Rollout> rollouts() {
-		return (this.seen != null) ? this.seen.rollouts() : List.of();
+		return (this.newestRecord != null) ? this.newestRecord.rollouts() : List.of();
 	}
 
 	/**
-	 * Returns the record to append now.
-	 * @param reports the reports that it is to name
-	 * @param rollouts the rollouts that it is to name
-	 * @param urgent whether something waits to be written down
-	 * @param now the present time
-	 * @return the record, or {@code null} if there is nothing to append
+	 * Returns the claim or renewal that is due.
+	 * @param reports the usage reports that the record includes
+	 * @param rollouts the rollouts that the record includes
+	 * @param urgent whether the holder appends before its renewal is due, because state
+	 * must be recorded
+	 * @param now the current time
+	 * @return the record to append, or {@code null} if none is due
 	 */
 	public @Nullable LeaseRecord toAppend(List<UsageReport> reports, List<Rollout> rollouts, boolean urgent, long now) {
-		if (this.claiming != null || this.end < 0) {
+		if (this.pendingRecord != null || this.topicEnd < 0) {
 			return null;
 		}
 		boolean renewing = this.fence != 0;
-		long renewAt = this.heldUntil - (long) (this.leaseNanos * (SHARE_HELD - SHARE_RENEWED));
+		long renewAt = this.heldUntil - (long) (this.leaseNanos * (HOLDING_FRACTION - RENEWAL_FRACTION));
 		if (renewing && !urgent && now < renewAt) {
 			return null;
 		}
-		if (!renewing && (now < this.awayUntil || (mayBeHeld(now) && !heldByFormerProcess()))) {
+		if (!renewing && (now < this.claimBackoffUntil || (newestLeaseMayBeActive(now) && !heldByPreviousProcess()))) {
 			return null;
 		}
-		this.claiming = new LeaseRecord(this.name, this.incarnation, renewing ? this.fence : this.end + 1, reports,
-				rollouts);
-		this.claimedAt = now;
-		return this.claiming;
+		this.pendingRecord = new LeaseRecord(this.name, this.incarnation, renewing ? this.fence : this.topicEnd + 1,
+				reports, rollouts);
+		this.pendingSince = now;
+		return this.pendingRecord;
 	}
 
-	private boolean mayBeHeld(long now) {
-		return this.seen != null && now - this.seenAt < this.leaseNanos * (TAKEOVER_LEASES + this.spread);
+	private boolean newestLeaseMayBeActive(long now) {
+		return this.newestRecord != null && now - this.newestRecordReadAt < this.leaseNanos
+				* (TAKEOVER_TIMEOUT_LEASES + this.takeoverJitterLeases);
 	}
 
-	// When all processes are killed, nobody does the duties until the lease has lapsed. A
-	// gateway that held it knows at once that its former process is gone.
-	private boolean heldByFormerProcess() {
-		return this.seen != null && this.seen.holder().equals(this.name) && this.seen.incarnation() != this.incarnation;
+	// If all processes are killed, the duties pause until the lease expires. A
+	// restarted gateway whose previous process held the lease can claim it immediately.
+	private boolean heldByPreviousProcess() {
+		return this.newestRecord != null && this.newestRecord.holder().equals(this.name)
+				&& this.newestRecord.incarnation() != this.incarnation;
 	}
 
 	/**
-	 * Returns the end at which the record must be appended.
-	 * @return the offset
+	 * Returns the end offset that the topic must have for the append to succeed.
+	 * @return the offset, or -1 if the topic must be read first
 	 */
 	public long expectedEnd() {
-		return this.end;
+		return this.topicEnd;
 	}
 
 	/**
-	 * Records that a record was appended.
+	 * Processes a successful append; does nothing if it is no longer pending.
 	 * @param record the record
-	 * @param offset its place
-	 * @param now the present time
+	 * @param offset its offset in the topic
+	 * @param now the current time
 	 */
 	public void appended(LeaseRecord record, long offset, long now) {
-		if (!pending(record)) {
+		if (!isPending(record)) {
 			return;
 		}
-		this.claiming = null;
+		this.pendingRecord = null;
 		ends(offset + 1);
 		read(record, now);
-		this.heldUntil = this.claimedAt + (long) (this.leaseNanos * SHARE_HELD);
+		this.heldUntil = this.pendingSince + (long) (this.leaseNanos * HOLDING_FRACTION);
 	}
 
-	// Two renewals may be equal; only the one on its way counts.
+	// Compares identities since two renewals may be equal.
 	@SuppressWarnings("ReferenceEquality")
-	private boolean pending(LeaseRecord record) {
-		return record == this.claiming;
+	private boolean isPending(LeaseRecord record) {
+		return record == this.pendingRecord;
 	}
 
 	/**
-	 * Records that a record was not appended, or that nobody knows.
+	 * Processes an append that failed or whose outcome is unknown; does nothing if it is
+	 * no longer pending.
 	 * @param record the record
 	 */
 	public void notAppended(LeaseRecord record) {
-		if (!pending(record)) {
+		if (!isPending(record)) {
 			return;
 		}
-		this.claiming = null;
-		// The next attempt waits until the topic was read again.
-		this.end = -1;
+		this.pendingRecord = null;
+		// Requires another read of the topic before the next attempt.
+		this.topicEnd = -1;
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseRecord.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseRecord.java
@@ -5,20 +5,21 @@
 import org.banyancove.gateway.rollout.Rollout;
 
 /**
- * A gateway's claim to do the shared duties, as it stands in the leases' topic.
+ * A record in the leases topic: a gateway's claim of the lease for the fleet-wide duties,
+ * or its renewal.
  *
- * @param holder the name of the gateway that claims, which stays the same when its
- * process is restarted
- * @param incarnation the process that claims
- * @param fence the number of the claim: higher than of any claim before
- * @param reports the newest usage reports, written down before they are sent
- * @param rollouts the rollouts as they were decided, written down before they take effect
+ * @param holder the name of the claiming gateway, which is stable across restarts of its
+ * process
+ * @param incarnation the incarnation of the claiming process
+ * @param fence the fencing token, higher than that of any previous claim
+ * @param reports the newest usage reports, recorded before they are sent
+ * @param rollouts the rollout decisions, recorded before they take effect
  */
 public record LeaseRecord(String holder, long incarnation, long fence, List<UsageReport> reports,
 		List<Rollout> rollouts) {
 
 	/**
-	 * Creates the record.
+	 * Creates a record.
 	 * @throws IllegalArgumentException if {@code fence} is not positive
 	 */
 	public LeaseRecord {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
@@ -9,40 +9,44 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * What this gateway knows of the others.
+ * The state of the other gateways as reported to this gateway.
  * <p>
- * An aggregator adds up the gateways of its group, which report to it, and the summaries
- * of the other groups. Any other gateway takes the fleet's summary from its aggregators
- * and subtracts itself. Loads are forgotten after a few missed reports; a gateway counts
- * as one of the fleet for longer, since it may be cut off from here and go on working.
+ * An aggregator adds up the reports of the gateways in its group and the summaries of the
+ * other groups. Any other gateway receives the fleet's summary from its aggregators and
+ * subtracts itself. Loads expire after a few missed reports. A gateway remains a member
+ * of the fleet for longer, since it may still be serving on the other side of a network
+ * partition.
  * <p>
- * Times are nanoseconds of the steady clock.
+ * Times are in nanoseconds of the monotonic clock.
  */
 public final class PeerTable {
 
-	/** Time without reports after which a gateway's loads count no more. */
+	/** Time without reports after which a gateway's loads expire. */
 	private static final Duration REACHABLE_TIMEOUT = Duration.ofMillis(1500);
 
-	/** The same after which it no longer belongs to the fleet: longer than most cuts. */
+	/**
+	 * Time without reports after which a gateway is removed from the fleet: longer than
+	 * most network partitions.
+	 */
 	private static final Duration MEMBER_TIMEOUT = Duration.ofSeconds(12);
 
 	/**
-	 * Time without reports after which a gateway does not respond, until it is
-	 * configured.
+	 * Time without reports after which a gateway is considered unresponsive, until a
+	 * timeout is configured.
 	 */
 	private static final Duration INITIAL_RESPONSE_TIMEOUT = Duration.ofMillis(600);
 
 	private final Map<Long, Member> members = new HashMap<>();
 
-	private final Map<String, SummarySource> groups = new HashMap<>();
+	private final Map<String, AggregatorSummaries> groups = new HashMap<>();
 
-	private final SummarySource fleet = new SummarySource(REACHABLE_TIMEOUT);
+	private final AggregatorSummaries fleet = new AggregatorSummaries(REACHABLE_TIMEOUT);
 
-	private final UsageLedger ledger = new UsageLedger();
+	private final UsageLedger usageLedger = new UsageLedger();
 
-	private final Map<AccountName, Double> usedByMembers = new HashMap<>();
+	private final Map<AccountName, Double> quotaUsedByMembers = new HashMap<>();
 
-	private final Map<AccountName, Double> usedByGroups = new HashMap<>();
+	private final Map<AccountName, Double> quotaUsedByGroups = new HashMap<>();
 
 	private final long incarnation;
 
@@ -52,12 +56,12 @@
 
 	private Duration responseTimeout = INITIAL_RESPONSE_TIMEOUT;
 
-	private boolean aggregates = true;
+	private boolean aggregator = true;
 
 	/**
-	 * Creates the table.
-	 * @param incarnation this process
-	 * @param dataCenter its data centre
+	 * Creates an empty table.
+	 * @param incarnation the incarnation of this process
+	 * @param dataCenter the data centre of this gateway
 	 */
 	public PeerTable(long incarnation, DataCenterName dataCenter) {
 		this.incarnation = incarnation;
@@ -66,111 +70,116 @@
 	}
 
 	/**
-	 * Records what this gateway reports of itself.
-	 * @param report its report
+	 * Sets this gateway's own report.
+	 * @param report the report
 	 */
 	public void ownReport(GatewayReport report) {
 		this.own = report;
-		this.ledger.addGateway(report.incarnation(), report.traffic().counts());
+		this.usageLedger.addGateway(report.incarnation(), report.traffic().counts());
 	}
 
 	/**
-	 * Changes whether this gateway adds up the others' reports.
-	 * @param newAggregates whether it is an aggregator of its group
+	 * Sets this gateway's role and removes the summaries of groups that no longer exist.
+	 * @param newAggregator whether this gateway is an aggregator of its group
 	 * @param knownGroups the groups of the fleet
-	 * @param newResponseTimeout time without reports after which a gateway does not
-	 * respond
+	 * @param newResponseTimeout the time without reports after which a gateway is
+	 * considered unresponsive
 	 */
-	public void configure(boolean newAggregates, Set<String> knownGroups, Duration newResponseTimeout) {
-		this.aggregates = newAggregates;
+	public void configure(boolean newAggregator, Set<String> knownGroups, Duration newResponseTimeout) {
+		this.aggregator = newAggregator;
 		this.responseTimeout = newResponseTimeout;
 		this.groups.keySet().retainAll(knownGroups);
-		this.ledger.retainGroups(knownGroups);
+		this.usageLedger.retainGroups(knownGroups);
 	}
 
 	/**
-	 * Records a report of a gateway of the same group, or in a small fleet of any other.
+	 * Records the report of a gateway of the same group, or of any gateway in a small
+	 * fleet.
 	 * @param report the report
-	 * @param now when it was received
-	 * @return what was accepted elsewhere and is to be charged here, by client account
+	 * @param now the time of receipt
+	 * @return the quota used at other gateways that is to be charged here, by client
+	 * account
 	 */
 	public Map<AccountName, Double> read(GatewayReport report, long now) {
-		this.ledger.addGateway(report.incarnation(), report.traffic().counts());
+		this.usageLedger.addGateway(report.incarnation(), report.traffic().counts());
 		Member known = this.members.get(report.incarnation());
-		UsedProgress progress = (known != null) ? known.progress() : new UsedProgress(REACHABLE_TIMEOUT);
-		this.members.put(report.incarnation(), new Member(report, now, progress));
-		Map<AccountName, Double> charge = progress.update(report.incarnation(), report.traffic().used(), now);
-		charge.forEach((account, amount) -> this.usedByMembers.merge(account, amount, Double::sum));
-		return this.aggregates ? charge : Map.of();
+		QuotaUsageReconciler reconciler = (known != null) ? known.reconciler()
+				: new QuotaUsageReconciler(REACHABLE_TIMEOUT);
+		this.members.put(report.incarnation(), new Member(report, now, reconciler));
+		Map<AccountName, Double> charge = reconciler.update(report.incarnation(), report.traffic().used(), now);
+		charge.forEach((account, amount) -> this.quotaUsedByMembers.merge(account, amount, Double::sum));
+		return this.aggregator ? charge : Map.of();
 	}
 
 	/**
-	 * Records a summary of another group or of the whole fleet.
+	 * Records the summary of another group or of the entire fleet.
 	 * @param summary the summary
-	 * @param now when it was received
-	 * @return what was accepted elsewhere and is to be charged here, by client account
+	 * @param now the time of receipt
+	 * @return the quota used at other gateways that is to be charged here, by client
+	 * account
 	 */
 	public Map<AccountName, Double> read(FleetSummary summary, long now) {
 		String group = summary.group();
 		if (group == null) {
-			this.ledger.addFleet(summary.traffic().counts());
-			Map<AccountName, Double> charge = this.fleet.read(summary, withoutOwn(summary.traffic().used()), now);
-			return this.aggregates ? Map.of() : charge;
+			this.usageLedger.addFleet(summary.traffic().counts());
+			Map<AccountName, Double> charge = this.fleet.read(summary, subtractOwn(summary.traffic().used()), now);
+			return this.aggregator ? Map.of() : charge;
 		}
-		this.ledger.addGroup(group, summary.traffic().counts());
+		this.usageLedger.addGroup(group, summary.traffic().counts());
 		Map<AccountName, Double> charge = this.groups
-			.computeIfAbsent(group, (key) -> new SummarySource(REACHABLE_TIMEOUT))
+			.computeIfAbsent(group, (key) -> new AggregatorSummaries(REACHABLE_TIMEOUT))
 			.read(summary, summary.traffic().used(), now);
-		charge.forEach((account, amount) -> this.usedByGroups.merge(account, amount, Double::sum));
-		return this.aggregates ? charge : Map.of();
+		charge.forEach((account, amount) -> this.quotaUsedByGroups.merge(account, amount, Double::sum));
+		return this.aggregator ? charge : Map.of();
 	}
 
-	private Map<AccountName, Double> withoutOwn(Map<AccountName, Double> used) {
+	private Map<AccountName, Double> subtractOwn(Map<AccountName, Double> used) {
 		Map<AccountName, Double> others = new HashMap<>(used);
 		this.own.traffic().used().forEach((account, amount) -> others.merge(account, -amount, Double::sum));
 		return others;
 	}
 
 	/**
-	 * Forgets the gateways that are gone.
-	 * @param now the present time
+	 * Removes the gateways and summaries that have expired.
+	 * @param now the current time
 	 */
 	public void expire(long now) {
 		this.members.values().removeIf((member) -> now - member.at() > MEMBER_TIMEOUT.toNanos());
-		this.groups.values().forEach((source) -> source.expire(now, MEMBER_TIMEOUT));
-		this.groups.values().removeIf(SummarySource::isEmpty);
+		this.groups.values().forEach((summaries) -> summaries.expire(now, MEMBER_TIMEOUT));
+		this.groups.values().removeIf(AggregatorSummaries::isEmpty);
 		this.fleet.expire(now, MEMBER_TIMEOUT);
 	}
 
 	/**
-	 * Returns the summary of this gateway and those that report to it.
+	 * Returns the summary of this gateway and the gateways that report to it.
 	 * @param group the name of their group
-	 * @param now the present time
-	 * @return the summary
+	 * @param now the current time
+	 * @return the group's summary
 	 */
 	public FleetSummary groupSummary(String group, long now) {
 		FleetAggregation aggregation = new FleetAggregation();
 		aggregation.add(this.own, true, true, Duration.ZERO);
 		addMembers(aggregation, now);
-		return aggregation.summary(this.incarnation, group, this.ledger.newestOfGroup(), used(this.usedByMembers));
+		return aggregation.summary(this.incarnation, group, this.usageLedger.recentGroupCounts(),
+				quotaUsed(this.quotaUsedByMembers));
 	}
 
 	/**
-	 * Returns the summary of the whole fleet, as this gateway knows it.
-	 * @param now the present time
-	 * @return the summary
+	 * Returns the summary of the entire fleet, as reported to this gateway.
+	 * @param now the current time
+	 * @return the fleet's summary
 	 */
 	public FleetSummary fleetSummary(long now) {
 		FleetAggregation aggregation = new FleetAggregation();
 		aggregation.add(this.own, true, true, Duration.ZERO);
 		addMembers(aggregation, now);
 		addGroups(aggregation, now);
-		Map<AccountName, Double> used = used(this.usedByMembers);
-		this.usedByGroups.forEach((account, amount) -> used.merge(account, amount, Double::sum));
-		return aggregation.summary(this.incarnation, null, this.ledger.newestOfFleet(), used);
+		Map<AccountName, Double> quotaUsed = quotaUsed(this.quotaUsedByMembers);
+		this.quotaUsedByGroups.forEach((account, amount) -> quotaUsed.merge(account, amount, Double::sum));
+		return aggregation.summary(this.incarnation, null, this.usageLedger.recentFleetCounts(), quotaUsed);
 	}
 
-	private Map<AccountName, Double> used(Map<AccountName, Double> others) {
+	private Map<AccountName, Double> quotaUsed(Map<AccountName, Double> others) {
 		Map<AccountName, Double> sums = new HashMap<>(this.own.traffic().used());
 		others.forEach((account, amount) -> sums.merge(account, amount, Double::sum));
 		return sums;
@@ -178,60 +187,60 @@
 
 	private void addMembers(FleetAggregation aggregation, long now) {
 		for (Member member : this.members.values()) {
-			aggregation.add(member.report(), fresh(member.at(), now), responding(member.at(), now),
+			aggregation.add(member.report(), isFresh(member.at(), now), isResponding(member.at(), now),
 					Duration.ofNanos(now - member.at()));
 		}
 	}
 
 	private void addGroups(FleetAggregation aggregation, long now) {
-		this.groups.values().forEach((source) -> addNewest(source, aggregation, now));
+		this.groups.values().forEach((summaries) -> addPreferred(summaries, aggregation, now));
 	}
 
-	private void addNewest(SummarySource source, FleetAggregation aggregation, long now) {
-		SummarySource.Received best = source.best(now, this.responseTimeout);
-		if (best != null) {
-			aggregation.add(best.summary(), fresh(best.at(), now), responding(best.at(), now),
-					Duration.ofNanos(now - best.at()));
+	private void addPreferred(AggregatorSummaries summaries, FleetAggregation aggregation, long now) {
+		AggregatorSummaries.Received preferred = summaries.preferred(now, this.responseTimeout);
+		if (preferred != null) {
+			aggregation.add(preferred.summary(), isFresh(preferred.at(), now), isResponding(preferred.at(), now),
+					Duration.ofNanos(now - preferred.at()));
 		}
 	}
 
-	private static boolean fresh(long at, long now) {
+	private static boolean isFresh(long at, long now) {
 		return now - at < REACHABLE_TIMEOUT.toNanos();
 	}
 
-	private boolean responding(long at, long now) {
+	private boolean isResponding(long at, long now) {
 		return now - at < this.responseTimeout.toNanos();
 	}
 
 	/**
-	 * Returns what is known of the others.
-	 * @param now the present time
+	 * Returns this gateway's view of the other gateways.
+	 * @param now the current time
 	 * @return the view
 	 */
 	public FleetView view(long now) {
 		FleetAggregation others = new FleetAggregation();
-		if (this.aggregates) {
+		if (this.aggregator) {
 			addMembers(others, now);
 			addGroups(others, now);
 		}
 		else {
-			addNewest(this.fleet, others, now);
+			addPreferred(this.fleet, others, now);
 			others.remove(this.own);
 		}
 		return FleetView.of(others.summary(this.incarnation, null, Map.of(), Map.of()), this.dataCenter,
-				this.aggregates);
+				this.aggregator);
 	}
 
 	/**
-	 * Returns what all gateways counted in a window.
+	 * Returns the number of requests started in the entire fleet during a usage window.
 	 * @param window the window's number
-	 * @return the requests by client account
+	 * @return the number of requests by client account
 	 */
 	public Map<AccountName, Long> counted(long window) {
-		return this.ledger.counted(window);
+		return this.usageLedger.counts(window);
 	}
 
-	private record Member(GatewayReport report, long at, UsedProgress progress) {
+	private record Member(GatewayReport report, long at, QuotaUsageReconciler reconciler) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
@@ -15,111 +15,125 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides how many endpoints of a service are ordered, of which kind and where.
+ * Decides how many reclaimable and on-demand endpoints of a service run in each data
+ * centre.
  * <p>
- * Under a wave of traffic, all reclaimable endpoints of a data centre are taken away at
- * once and no more are available for a while. Reclaimable ones cost a fraction, so they
- * are ordered for what is needed and once more over all data centres. On-demand ones are
- * ordered only for what the reclaimable ones that are left do not cover. Orders grow at
- * once and shrink after a while, since a start takes seconds. On-demand ones that stood
- * in fill the places of the data centres; once reclaimable ones are available again they
- * make room for them step by step, as many as have started.
+ * During a traffic surge, all reclaimable endpoints of a data centre may be reclaimed at
+ * once, with no replacements available for some time. Reclaimable endpoints cost a
+ * fraction of on-demand ones, so they are overprovisioned across all data centres.
+ * On-demand endpoints are ordered only for the demand that the surviving reclaimable ones
+ * do not cover. Scale-up is immediate and scale-down is delayed, since a start takes
+ * seconds. On-demand endpoints that replaced reclaimable ones may occupy all capacity of
+ * the data centres. When reclaimable capacity is available again, they are released
+ * gradually, as reclaimable endpoints start.
  * <p>
- * Times are nanoseconds of the steady clock.
+ * Times are in nanoseconds of the monotonic clock.
  */
 public final class ScalingPolicy {
 
 	/**
-	 * Part of an engine's time that prefill takes where reclaimable endpoints are enough:
-	 * beyond it, prompts wait for each other longer than short targets allow.
+	 * Fraction of an engine's time that prefill may take while reclaimable endpoints are
+	 * sufficient: beyond it, prompts queue for longer than short latency targets allow.
 	 */
-	private static final double COMFORTABLE_UTILIZATION = 0.13;
+	private static final double RECLAIMABLE_PREFILL_UTILIZATION = 0.13;
 
 	/**
-	 * The same where on-demand endpoints have to stand in: they cost several times as
-	 * much, so that a fuller engine is worth less than another.
+	 * Fraction of an engine's time that prefill may take on on-demand endpoints: they
+	 * cost several times as much, so higher utilization is preferred to more engines.
 	 */
-	private static final double DENSE_UTILIZATION = 0.6;
+	private static final double ON_DEMAND_PREFILL_UTILIZATION = 0.6;
 
 	/**
-	 * Part of an engine's slots that are taken where reclaimable endpoints are enough.
+	 * Fraction of an engine's slots in use while reclaimable endpoints are sufficient.
 	 */
-	private static final double COMFORTABLE_SLOT_SHARE = 0.3;
+	private static final double RECLAIMABLE_SLOT_UTILIZATION = 0.3;
 
-	/** The same where on-demand endpoints have to stand in. */
-	private static final double DENSE_SLOT_SHARE = 0.7;
+	/** Fraction of an engine's slots in use on on-demand endpoints. */
+	private static final double ON_DEMAND_SLOT_UTILIZATION = 0.7;
 
 	/**
-	 * How long a need for reclaimable ones is remembered: longer than between two bursts.
+	 * Time for which the peak demand for reclaimable endpoints is retained: longer than
+	 * the interval between two bursts.
 	 */
-	private static final Duration MEMORY = Duration.ofSeconds(30);
+	private static final Duration DESIRED_CAPACITY_WINDOW = Duration.ofSeconds(30);
 
-	/** How long the least need is remembered: about two starts. */
-	private static final Duration MINIMUM_MEMORY = Duration.ofSeconds(8);
+	/**
+	 * Time for which the peak of the minimum capacity is retained: about two endpoint
+	 * starts.
+	 */
+	private static final Duration MINIMUM_CAPACITY_WINDOW = Duration.ofSeconds(8);
 
 	/**
-	 * Reclaimable endpoints in each data centre at any load: a burst starts within a
-	 * second, an endpoint in four.
+	 * Reclaimable endpoints per data centre at any load: a burst starts within a second,
+	 * an endpoint within four.
 	 */
-	private static final int MINIMUM_IN_DATA_CENTER = 3;
+	private static final int MINIMUM_RECLAIMABLE_PER_DATA_CENTER = 3;
 
-	private final DataCenterFailureDetector unreachableDataCenters = new DataCenterFailureDetector();
+	private final DataCenterFailureDetector failureDetector = new DataCenterFailureDetector();
 
-	private final RecentPeak needs = new RecentPeak(MEMORY);
+	private final SlidingWindowMaximum desiredCapacity = new SlidingWindowMaximum(DESIRED_CAPACITY_WINDOW);
 
-	private final RecentPeak leastNeeds = new RecentPeak(MINIMUM_MEMORY);
+	private final SlidingWindowMaximum minimumCapacity = new SlidingWindowMaximum(MINIMUM_CAPACITY_WINDOW);
 
 	private Map<DataCenterName, Integer> onDemandOrdered = Map.of();
 
 	/**
-	 * Decides the orders.
-	 * @param limits what may be ordered
+	 * Returns the desired number of endpoints of each kind in each data centre.
+	 * @param limits the scaling limits of the service
 	 * @param listed the service's endpoints
-	 * @param work the engine time that is needed, in ms a second
-	 * @param inFlight the requests at the endpoints
+	 * @param demand the required engine time, in ms per second
+	 * @param inFlight the number of requests in flight at the endpoints
 	 * @param reclaimableAvailable whether the last order of reclaimable endpoints was
-	 * taken
-	 * @param now the present time
-	 * @return the orders; none for a data centre that is cut off, where what was ordered
-	 * stays
+	 * accepted
+	 * @param now the current time
+	 * @return the orders; none for an unreachable data centre, whose previous orders
+	 * remain in effect
 	 */
-	public List<Order> decide(ScalingLimits limits, Collection<EndpointEntry> listed, double work, int inFlight,
+	public List<Order> decide(ScalingLimits limits, Collection<EndpointEntry> listed, double demand, int inFlight,
 			boolean reclaimableAvailable, long now) {
 		List<DataCenterName> all = new ArrayList<>(limits.zonePrices().keySet());
-		all.sort(Comparator.comparingDouble((DataCenterName zone) -> limits.zonePrices().getOrDefault(zone, 1.0))
+		all.sort(Comparator
+			.comparingDouble((DataCenterName dataCenter) -> limits.zonePrices().getOrDefault(dataCenter, 1.0))
 			.thenComparing(DataCenterName::value));
-		Set<DataCenterName> silent = this.unreachableDataCenters.update(listed, all, now);
-		List<DataCenterName> zones = all.stream().filter((zone) -> !silent.contains(zone)).toList();
-		if (zones.isEmpty()) {
+		Set<DataCenterName> unreachable = this.failureDetector.update(listed, all, now);
+		List<DataCenterName> dataCenters = all.stream()
+			.filter((dataCenter) -> !unreachable.contains(dataCenter))
+			.toList();
+		if (dataCenters.isEmpty()) {
 			return List.of();
 		}
-		double engines = work / 1000;
-		double engineSlots = inFlight / (double) slots(listed);
-		double comfortable = this.needs.add(Math.max(standing(listed, work, inFlight),
-				Math.max(engines / COMFORTABLE_UTILIZATION, engineSlots / COMFORTABLE_SLOT_SHARE)), now);
-		int least = (int) this.leastNeeds
-			.add(atLeastOne(Math.max(engines / DENSE_UTILIZATION, engineSlots / DENSE_SLOT_SHARE)), now);
+		double busyEngines = demand / 1000;
+		double busyEngineSlots = inFlight / (double) slots(listed);
+		double desired = this.desiredCapacity.add(
+				Math.max(initialCapacity(listed, demand, inFlight), Math.max(
+						busyEngines / RECLAIMABLE_PREFILL_UTILIZATION, busyEngineSlots / RECLAIMABLE_SLOT_UTILIZATION)),
+				now);
+		int minimum = (int) this.minimumCapacity.add(atLeastOne(
+				Math.max(busyEngines / ON_DEMAND_PREFILL_UTILIZATION, busyEngineSlots / ON_DEMAND_SLOT_UTILIZATION)),
+				now);
 		if (limits.reclaimablePrice() >= 1) {
-			return orders(zones, fill(least, zones, limits, listed), null, limits);
+			return orders(dataCenters, placeOnDemand(minimum, dataCenters, limits, listed), null, limits);
 		}
-		Map<DataCenterName, Integer> running = runningByZone(listed, zones);
-		Map<DataCenterName, Integer> reclaimable = spread(
-				Math.max(zones.size() * MINIMUM_IN_DATA_CENTER, (int) Math.ceil(comfortable)), zones, limits.most());
+		Map<DataCenterName, Integer> running = runningReclaimable(listed, dataCenters);
+		Map<DataCenterName, Integer> reclaimable = distribute(
+				Math.max(dataCenters.size() * MINIMUM_RECLAIMABLE_PER_DATA_CENTER, (int) Math.ceil(desired)),
+				dataCenters, limits.most());
 		if (!reclaimableAvailable) {
-			// What is given back now cannot be had again when the load returns.
-			running.forEach((zone, count) -> reclaimable.merge(zone, count, Math::max));
+			// Endpoints released now could not be replaced when the load increases.
+			running.forEach((dataCenter, count) -> reclaimable.merge(dataCenter, count, Math::max));
 		}
-		int left = leftAfterLoss(reclaimableAvailable ? reclaimable : running);
-		int onDemand = Math.max(0, least - Math.min(running(listed, true), left));
-		return orders(zones, fill(onDemand, zones, limits, listed), reclaimable, limits);
+		int surviving = survivingLargestLoss(reclaimableAvailable ? reclaimable : running);
+		int onDemand = Math.max(0, minimum - Math.min(running(listed, true), surviving));
+		return orders(dataCenters, placeOnDemand(onDemand, dataCenters, limits, listed), reclaimable, limits);
 	}
 
-	// The first decision may come before any caller does. What stands then is the only
-	// sign of the load to come: given back, a large fleet would begin its day with a few
-	// endpoints, and callers wait for as long as a start takes.
-	private int standing(Collection<EndpointEntry> listed, double work, int inFlight) {
-		boolean unknown = this.needs.isEmpty() && work == 0 && inFlight == 0;
-		return unknown ? listed.size() : 0;
+	// The first decision may precede the first request. The running endpoints are then
+	// the only indication of the expected load. If they were released, a large fleet
+	// would begin with few endpoints, and callers would wait for the duration of a
+	// start.
+	private int initialCapacity(Collection<EndpointEntry> listed, double demand, int inFlight) {
+		boolean noDemandYet = this.desiredCapacity.isEmpty() && demand == 0 && inFlight == 0;
+		return noDemandYet ? listed.size() : 0;
 	}
 
 	private static double atLeastOne(double endpoints) {
@@ -130,32 +144,33 @@
 		return listed.stream().mapToInt(EndpointEntry::slots).min().orElse(1);
 	}
 
-	private List<Order> orders(List<DataCenterName> zones, Map<DataCenterName, Integer> onDemand,
+	private List<Order> orders(List<DataCenterName> dataCenters, Map<DataCenterName, Integer> onDemand,
 			@Nullable Map<DataCenterName, Integer> reclaimable, ScalingLimits limits) {
 		this.onDemandOrdered = onDemand;
 		List<Order> orders = new ArrayList<>();
-		for (DataCenterName zone : zones) {
-			int onDemandHere = onDemand.getOrDefault(zone, 0);
-			int wanted = (reclaimable != null) ? reclaimable.getOrDefault(zone, 0) : 0;
-			int reclaimableHere = Math.min(wanted, limits.most() - onDemandHere);
-			orders.add(new Order(zone, false, Math.max(onDemandHere, limits.fewest() - reclaimableHere)));
+		for (DataCenterName dataCenter : dataCenters) {
+			int onDemandHere = onDemand.getOrDefault(dataCenter, 0);
+			int desiredHere = (reclaimable != null) ? reclaimable.getOrDefault(dataCenter, 0) : 0;
+			int reclaimableHere = Math.min(desiredHere, limits.most() - onDemandHere);
+			orders.add(new Order(dataCenter, false, Math.max(onDemandHere, limits.fewest() - reclaimableHere)));
 			if (reclaimable != null) {
-				orders.add(new Order(zone, true, reclaimableHere));
+				orders.add(new Order(dataCenter, true, reclaimableHere));
 			}
 		}
 		return orders;
 	}
 
 	/**
-	 * Counts the endpoints of a kind in a data centre that are not leaving.
+	 * Returns the number of endpoints of a kind in a data centre that are not draining.
 	 * @param listed the service's endpoints
-	 * @param zone the data centre
-	 * @param reclaimable the kind
-	 * @return the number
+	 * @param dataCenter the data centre
+	 * @param reclaimable whether to count reclaimable or on-demand endpoints
+	 * @return the number of endpoints
 	 */
-	public static int running(Collection<EndpointEntry> listed, DataCenterName zone, boolean reclaimable) {
+	public static int running(Collection<EndpointEntry> listed, DataCenterName dataCenter, boolean reclaimable) {
 		return (int) listed.stream()
-			.filter((entry) -> entry.zone().equals(zone) && entry.reclaimable() == reclaimable && !entry.draining())
+			.filter((entry) -> entry.zone().equals(dataCenter) && entry.reclaimable() == reclaimable
+					&& !entry.draining())
 			.count();
 	}
 
@@ -163,60 +178,62 @@
 		return (int) listed.stream().filter((entry) -> entry.reclaimable() == reclaimable && !entry.draining()).count();
 	}
 
-	private static Map<DataCenterName, Integer> runningByZone(Collection<EndpointEntry> listed,
-			List<DataCenterName> zones) {
+	private static Map<DataCenterName, Integer> runningReclaimable(Collection<EndpointEntry> listed,
+			List<DataCenterName> dataCenters) {
 		Map<DataCenterName, Integer> running = new HashMap<>();
-		zones.forEach((zone) -> running.put(zone, running(listed, zone, true)));
+		dataCenters.forEach((dataCenter) -> running.put(dataCenter, running(listed, dataCenter, true)));
 		return running;
 	}
 
-	// The reclaimable endpoints that are left when the data centre with the most of them
-	// loses all at one blow. Counting those too would order on-demand ones only once they
-	// are leaving: callers would wait for a start, four seconds, at whatever is left.
-	private static int leftAfterLoss(Map<DataCenterName, Integer> reclaimable) {
+	// Returns the reclaimable endpoints that remain if the data centre with the most of
+	// them loses all at once. If those were counted too, on-demand endpoints would be
+	// ordered only when they are already leaving. Callers would wait four seconds for
+	// the start at the remaining endpoints.
+	private static int survivingLargestLoss(Map<DataCenterName, Integer> reclaimable) {
 		int all = reclaimable.values().stream().mapToInt(Integer::intValue).sum();
 		int most = reclaimable.values().stream().mapToInt(Integer::intValue).max().orElse(0);
 		return all - most;
 	}
 
-	// Spreads evenly, the cheaper data centres first.
-	private static Map<DataCenterName, Integer> spread(int total, List<DataCenterName> zones, int most) {
-		Map<DataCenterName, Integer> spread = new HashMap<>();
+	// Distributes evenly, starting with the cheapest data centre.
+	private static Map<DataCenterName, Integer> distribute(int total, List<DataCenterName> dataCenters, int most) {
+		Map<DataCenterName, Integer> counts = new HashMap<>();
 		for (int i = 0; i < total; i++) {
-			spread.merge(zones.get(i % zones.size()), 1, (left, right) -> Math.min(most, left + right));
+			counts.merge(dataCenters.get(i % dataCenters.size()), 1, (left, right) -> Math.min(most, left + right));
 		}
-		return spread;
+		return counts;
 	}
 
-	// Keeps those that run or start, the cheapest data centre first, and orders what is
-	// missing where there is room beside the reclaimable ones: an endpoint that starts is
-	// empty, one that leaves breaks streams off, and an order that moves while its
-	// endpoint starts costs a start, four seconds, once more.
-	private Map<DataCenterName, Integer> fill(int total, List<DataCenterName> zones, ScalingLimits limits,
-			Collection<EndpointEntry> listed) {
-		Map<DataCenterName, Integer> filled = new HashMap<>();
-		int left = total;
-		for (DataCenterName zone : zones) {
-			int there = Math.max(running(listed, zone, false), this.onDemandOrdered.getOrDefault(zone, 0));
-			int here = Math.min(left, Math.min(there, limits.most()));
-			filled.put(zone, here);
-			left -= here;
+	// Keeps the endpoints that are running or starting, the cheapest data centre first,
+	// and places the others where the reclaimable endpoints leave capacity. A new
+	// endpoint starts empty, a removed one interrupts its streams, and an order that
+	// moves while its endpoint is starting costs another start of four seconds.
+	private Map<DataCenterName, Integer> placeOnDemand(int total, List<DataCenterName> dataCenters,
+			ScalingLimits limits, Collection<EndpointEntry> listed) {
+		Map<DataCenterName, Integer> placed = new HashMap<>();
+		int remaining = total;
+		for (DataCenterName dataCenter : dataCenters) {
+			int existing = Math.max(running(listed, dataCenter, false),
+					this.onDemandOrdered.getOrDefault(dataCenter, 0));
+			int count = Math.min(remaining, Math.min(existing, limits.most()));
+			placed.put(dataCenter, count);
+			remaining -= count;
 		}
-		for (DataCenterName zone : zones) {
-			int room = limits.most() - running(listed, zone, true) - filled.getOrDefault(zone, 0);
-			int here = Math.clamp(room, 0, left);
-			filled.merge(zone, here, Integer::sum);
-			left -= here;
+		for (DataCenterName dataCenter : dataCenters) {
+			int room = limits.most() - running(listed, dataCenter, true) - placed.getOrDefault(dataCenter, 0);
+			int count = Math.clamp(room, 0, remaining);
+			placed.merge(dataCenter, count, Integer::sum);
+			remaining -= count;
 		}
-		return filled;
+		return placed;
 	}
 
 	/**
-	 * How many endpoints of a kind there are to be in a data centre.
+	 * The desired number of endpoints of a kind in a data centre.
 	 *
 	 * @param zone the data centre
-	 * @param reclaimable the kind
-	 * @param count the number
+	 * @param reclaimable whether the endpoints are reclaimable or on-demand
+	 * @param count the desired number of endpoints
 	 */
 	public record Order(DataCenterName zone, boolean reclaimable, int count) {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/RecentPeak.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/SlidingWindowMaximum.java
@@ -4,21 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * The highest of the values of late.
+ * The maximum of the values added within a sliding time window.
  */
-final class RecentPeak {
+final class SlidingWindowMaximum {
 
 	private final TreeMap<Long, Double> values = new TreeMap<>();
 
-	private final Duration memory;
+	private final Duration window;
 
-	RecentPeak(Duration memory) {
-		this.memory = memory;
+	SlidingWindowMaximum(Duration window) {
+		this.window = window;
 	}
 
 	/**
-	 * Returns whether no value was added yet.
-	 * @return whether there is none
+	 * Returns whether no value has been added.
+	 * @return {@code true} if there is no value
 	 */
 	boolean isEmpty() {
 		return this.values.isEmpty();
@@ -27,12 +27,12 @@
 	/**
 	 * Adds a value.
 	 * @param value the value
-	 * @param now the present time, in ns of the steady clock
-	 * @return the highest value of late
+	 * @param now the current time, in ns of the monotonic clock
+	 * @return the maximum within the window
 	 */
 	double add(double value, long now) {
 		this.values.put(now, value);
-		this.values.headMap(now - this.memory.toNanos()).clear();
+		this.values.headMap(now - this.window.toNanos()).clear();
 		return this.values.values().stream().mapToDouble(Double::doubleValue).max().orElse(value);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/TrafficTotals.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/TrafficTotals.java
@@ -9,15 +9,15 @@
 import org.banyancove.gateway.rollout.RolloutReport;
 
 /**
- * The traffic of one gateway, or the sums of several.
+ * The traffic of one gateway, or the aggregated traffic of several.
  *
- * @param counts the requests that began to run, by usage window and client account
- * @param used all that was accepted since the process started, by client account, in the
- * unit of its quota
- * @param work the engine time that the requests need, in ms a second, by service
- * @param loads the requests at endpoints
- * @param rollouts what is reported of rollouts
- * @param rateLimits the newest rate limits that endpoints named
+ * @param counts the number of requests started, by usage window and client account
+ * @param used the quota used since the process started, by client account, in the unit of
+ * the quota
+ * @param work the engine time required by the requests, in ms per second, by service
+ * @param loads the load at each endpoint
+ * @param rollouts the samples of the rollouts
+ * @param rateLimits the newest rate limits that endpoints reported
  */
 public record TrafficTotals(Map<Long, Map<AccountName, Long>> counts, Map<AccountName, Double> used,
 		Map<ServiceName, Double> work, Map<EndpointId, EndpointLoad> loads, RolloutReport rollouts,
@@ -28,7 +28,7 @@
 			RolloutReport.NONE, Map.of());
 
 	/**
-	 * Creates the totals.
+	 * Creates totals.
 	 */
 	public TrafficTotals {
 		counts = Map.copyOf(counts);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageCounter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageCounter.java
@@ -9,11 +9,14 @@
 import org.banyancove.core.AccountName;
 
 /**
- * Counts the requests of this process that began to run, by window of the time of day.
+ * Counts the requests started by this process, by window of wall-clock time.
  */
 public final class UsageCounter {
 
-	/** Windows that are repeated in reports: the others have received older ones. */
+	/**
+	 * Windows that are included in reports: the other gateways have already received
+	 * older ones.
+	 */
 	private static final int MAXIMUM_WINDOWS = 4;
 
 	private final Duration window;
@@ -21,7 +24,7 @@
 	private final TreeMap<Long, Map<AccountName, Long>> counts = new TreeMap<>();
 
 	/**
-	 * Creates the counter.
+	 * Creates a counter.
 	 * @param window the length of a window
 	 */
 	public UsageCounter(Duration window) {
@@ -29,29 +32,30 @@
 	}
 
 	/**
-	 * Returns the window of a moment; windows are counted from the start of 1970.
-	 * @param moment the moment
+	 * Returns the number of the window that contains an instant; windows are numbered
+	 * from the epoch.
+	 * @param instant the instant
 	 * @return the window's number
 	 */
-	public long windowOf(Instant moment) {
-		return Math.floorDiv(moment.toEpochMilli(), this.window.toMillis());
+	public long windowOf(Instant instant) {
+		return Math.floorDiv(instant.toEpochMilli(), this.window.toMillis());
 	}
 
 	/**
-	 * Counts a request.
+	 * Counts a started request.
 	 * @param account its client account
-	 * @param moment when it began to run
+	 * @param instant the time at which it started
 	 */
-	public void recordStart(AccountName account, Instant moment) {
-		this.counts.computeIfAbsent(windowOf(moment), (number) -> new HashMap<>()).merge(account, 1L, Long::sum);
+	public void recordStart(AccountName account, Instant instant) {
+		this.counts.computeIfAbsent(windowOf(instant), (number) -> new HashMap<>()).merge(account, 1L, Long::sum);
 		while (this.counts.size() > MAXIMUM_WINDOWS) {
 			this.counts.pollFirstEntry();
 		}
 	}
 
 	/**
-	 * Returns the counts by window and client account.
-	 * @return the counts
+	 * Returns a copy of the counts.
+	 * @return the number of requests by window and client account
 	 */
 	public Map<Long, Map<AccountName, Long>> counts() {
 		Map<Long, Map<AccountName, Long>> copy = new TreeMap<>();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageLedger.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageLedger.java
@@ -9,35 +9,35 @@
 import org.banyancove.core.AccountName;
 
 /**
- * The fleet's counts of requests that began to run, by usage window.
+ * The fleet's counts of started requests, by usage window.
  * <p>
- * Counts only grow, and arrive by several ways: from a gateway itself, in its group's
- * sums, and in the fleet's. Each is at most the true count, since some reports may be
- * missing, so the largest is kept. Counts stay when their process is gone: what it
- * counted did run.
+ * Counts only grow, and arrive from several sources: from a gateway itself, in the sums
+ * of its group, and in the sums of the fleet. Each is at most the true count, since
+ * reports may be missing, so the largest is kept. The counts of a process are retained
+ * after it stops, since the requests it counted did run.
  */
 final class UsageLedger {
 
-	/** Windows that are kept for the usage report. */
+	/** Windows that are retained for the usage report. */
 	private static final int MAXIMUM_WINDOWS = 12;
 
-	/** Windows that are repeated in summaries: older ones have been reported. */
-	private static final int REPEATED_WINDOWS = 4;
+	/** Windows that are included in summaries: older ones have already been reported. */
+	private static final int SUMMARY_WINDOWS = 4;
 
 	private final TreeMap<Long, Window> windows = new TreeMap<>();
 
 	void addGateway(long incarnation, Map<Long, Map<AccountName, Long>> counts) {
-		counts.forEach((number, accounts) -> keepLargest(
+		counts.forEach((number, accounts) -> mergeMaximum(
 				window(number).gateways.computeIfAbsent(incarnation, (key) -> new HashMap<>()), accounts));
 	}
 
 	void addGroup(String group, Map<Long, Map<AccountName, Long>> counts) {
-		counts.forEach((number, accounts) -> keepLargest(
+		counts.forEach((number, accounts) -> mergeMaximum(
 				window(number).groups.computeIfAbsent(group, (key) -> new HashMap<>()), accounts));
 	}
 
 	void addFleet(Map<Long, Map<AccountName, Long>> counts) {
-		counts.forEach((number, accounts) -> keepLargest(window(number).fleet, accounts));
+		counts.forEach((number, accounts) -> mergeMaximum(window(number).fleet, accounts));
 	}
 
 	void retainGroups(Set<String> groups) {
@@ -52,43 +52,43 @@
 		return window;
 	}
 
-	private static void keepLargest(Map<AccountName, Long> known, Map<AccountName, Long> counts) {
+	private static void mergeMaximum(Map<AccountName, Long> known, Map<AccountName, Long> counts) {
 		counts.forEach((account, count) -> known.merge(account, count, Math::max));
 	}
 
 	/**
-	 * Returns what the whole fleet counted in a window.
+	 * Returns the number of requests started in the entire fleet during a window.
 	 * @param number the window's number
-	 * @return the requests by client account
+	 * @return the number of requests by client account
 	 */
-	Map<AccountName, Long> counted(long number) {
+	Map<AccountName, Long> counts(long number) {
 		Window window = this.windows.get(number);
 		return (window != null) ? window.total() : Map.of();
 	}
 
 	/**
-	 * Returns the newest windows of the gateways that report here.
-	 * @return the requests by window and client account
+	 * Returns the counts of the gateways in this gateway's group for the newest windows.
+	 * @return the number of requests by window and client account
 	 */
-	Map<Long, Map<AccountName, Long>> newestOfGroup() {
-		Map<Long, Map<AccountName, Long>> newest = new HashMap<>();
-		newest().forEach((number, window) -> newest.put(number, window.ofGateways()));
-		return newest;
+	Map<Long, Map<AccountName, Long>> recentGroupCounts() {
+		Map<Long, Map<AccountName, Long>> recent = new HashMap<>();
+		recentWindows().forEach((number, window) -> recent.put(number, window.gatewayTotal()));
+		return recent;
 	}
 
 	/**
-	 * Returns the newest windows of the fleet.
-	 * @return the requests by window and client account
+	 * Returns the counts of the entire fleet for the newest windows.
+	 * @return the number of requests by window and client account
 	 */
-	Map<Long, Map<AccountName, Long>> newestOfFleet() {
-		Map<Long, Map<AccountName, Long>> newest = new HashMap<>();
-		newest().forEach((number, window) -> newest.put(number, window.total()));
-		return newest;
+	Map<Long, Map<AccountName, Long>> recentFleetCounts() {
+		Map<Long, Map<AccountName, Long>> recent = new HashMap<>();
+		recentWindows().forEach((number, window) -> recent.put(number, window.total()));
+		return recent;
 	}
 
-	private NavigableMap<Long, Window> newest() {
+	private NavigableMap<Long, Window> recentWindows() {
 		long last = this.windows.isEmpty() ? 0 : this.windows.lastKey();
-		return this.windows.tailMap(last - REPEATED_WINDOWS, false);
+		return this.windows.tailMap(last - SUMMARY_WINDOWS, false);
 	}
 
 	private static final class Window {
@@ -99,16 +99,16 @@
 
 		private final Map<AccountName, Long> fleet = new HashMap<>();
 
-		Map<AccountName, Long> ofGateways() {
+		Map<AccountName, Long> gatewayTotal() {
 			Map<AccountName, Long> sum = new HashMap<>();
 			this.gateways.values().forEach((counts) -> add(sum, counts));
 			return sum;
 		}
 
 		Map<AccountName, Long> total() {
-			Map<AccountName, Long> total = ofGateways();
+			Map<AccountName, Long> total = gatewayTotal();
 			this.groups.values().forEach((counts) -> add(total, counts));
-			keepLargest(total, this.fleet);
+			mergeMaximum(total, this.fleet);
 			return total;
 		}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsagePlan.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsagePlan.java
@@ -7,31 +7,32 @@
 import java.util.function.LongFunction;
 
 /**
- * Decides which windows are to be reported, and keeps what was written down.
+ * Decides which usage windows are reported, and retains the reports already recorded.
  * <p>
- * A report is fixed once its window has been over for long enough that every gateway has
- * reported its counts. It is written into the lease before it is sent, so that a
- * successor sends the same counts again instead of others.
+ * A report becomes final when its window ended long enough ago for every gateway to have
+ * reported its counts. It is recorded with the lease before it is sent, so that a
+ * successor sends identical counts.
  */
 public final class UsagePlan {
 
 	/**
-	 * From a window's end until all have reported their counts: several times their
-	 * interval.
+	 * Delay from the end of a window until its counts are final: several times the
+	 * interval of the gateways' reports.
 	 */
-	private static final Duration SETTLE = Duration.ofSeconds(2);
+	private static final Duration SETTLING_DELAY = Duration.ofSeconds(2);
 
-	/** Reports that a lease names: more would be past their due time. */
-	private static final int MAXIMUM_NAMED = 4;
+	/** Reports in a lease record: older ones are past their due time. */
+	private static final int MAXIMUM_REPORTS = 4;
 
 	private final UsageCounter windows;
 
 	private final long firstWindow;
 
 	/**
-	 * Creates the plan.
-	 * @param windows numbers the windows
-	 * @param start when this process started: of a window before, it knows nothing
+	 * Creates a plan.
+	 * @param windows the counter that numbers the windows
+	 * @param start the time at which this process started; it has no counts of earlier
+	 * windows
 	 */
 	public UsagePlan(UsageCounter windows, Instant start) {
 		this.windows = windows;
@@ -39,21 +40,21 @@
 	}
 
 	/**
-	 * Returns the reports that the next lease record is to name.
-	 * @param named those that the newest record names
-	 * @param now the time of day
-	 * @param counted gives the counts of a window
+	 * Returns the reports to include in the next lease record.
+	 * @param recorded the reports in the newest lease record
+	 * @param now the current wall-clock time
+	 * @param reportOfWindow returns the report of a window by its number
 	 * @return the reports, the oldest first
 	 */
-	public List<UsageReport> toName(List<UsageReport> named, Instant now, LongFunction<UsageReport> counted) {
-		long settled = this.windows.windowOf(now.minus(SETTLE)) - 1;
-		long next = named.isEmpty() ? this.firstWindow : named.getLast().window() + 1;
-		next = Math.max(next, settled - MAXIMUM_NAMED + 1);
-		List<UsageReport> all = new ArrayList<>(named);
-		for (long window = next; window <= settled; window++) {
-			all.add(counted.apply(window));
+	public List<UsageReport> toName(List<UsageReport> recorded, Instant now, LongFunction<UsageReport> reportOfWindow) {
+		long lastFinal = this.windows.windowOf(now.minus(SETTLING_DELAY)) - 1;
+		long next = recorded.isEmpty() ? this.firstWindow : recorded.getLast().window() + 1;
+		next = Math.max(next, lastFinal - MAXIMUM_REPORTS + 1);
+		List<UsageReport> all = new ArrayList<>(recorded);
+		for (long window = next; window <= lastFinal; window++) {
+			all.add(reportOfWindow.apply(window));
 		}
-		return List.copyOf(all.subList(Math.max(0, all.size() - MAXIMUM_NAMED), all.size()));
+		return List.copyOf(all.subList(Math.max(0, all.size() - MAXIMUM_REPORTS), all.size()));
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageReport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageReport.java
@@ -5,16 +5,16 @@
 import org.banyancove.core.AccountName;
 
 /**
- * What is reported of one window. Once it was written down it is never changed: two
- * reports of a window that differ would be charged against each other.
+ * The usage report of one window. It is immutable once recorded: two different reports of
+ * a window would produce conflicting charges.
  *
  * @param window the window's number
- * @param counts the requests that began to run, by client account
+ * @param counts the number of requests started, by client account
  */
 public record UsageReport(long window, Map<AccountName, Long> counts) {
 
 	/**
-	 * Creates the report.
+	 * Creates a report.
 	 */
 	public UsageReport {
 		counts = Map.copyOf(counts);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Work that one gateway does for all: the lease that picks it, the usage report, the
- * endpoint orders.
+ * Fleet-wide duties that a single gateway performs: its election by a lease, usage
+ * reporting, and endpoint scaling; and the exchange of state between the gateways.
  * <p>
- * Pure decisions; times are passed in.
+ * The decisions perform no I/O, and times are passed in.
  */
 @NullMarked
 package org.banyancove.gateway.duty;
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/AggregatorSelectionTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/AggregatorSelectionTests.java
@@ -18,23 +18,23 @@
 	private long now;
 
 	@Test
-	void choosesTheHighestRanksThatAnswer() {
-		play(8, "a", "b", "c");
+	void selectsHighestRankedGatewaysThatRespond() {
+		runSteps(8, "a", "b", "c");
 		assertThat(choose()).containsExactly("a", "b");
 	}
 
-	// Guards against reports that go on to an aggregator that is dead.
+	// Guards against reports that are still sent to a failed aggregator.
 	@Test
-	void passesOverWhoDoesNotAnswerWithinASecond() {
-		play(8, "a", "b", "c");
-		play(5, "b", "c");
+	void skipsGatewayThatDoesNotRespondWithinOneSecond() {
+		runSteps(8, "a", "b", "c");
+		runSteps(5, "b", "c");
 		assertThat(choose()).containsExactly("b", "c");
 	}
 
-	// Guards against an aggregator that stays out for good after a restart.
+	// Guards against an aggregator that is never selected again after a restart.
 	@Test
-	void asksWhoWasPassedOverAgain() {
-		play(8, "b", "c");
+	void probesSkippedGateway() {
+		runSteps(8, "b", "c");
 		boolean probed = false;
 		for (int i = 0; i < 4; i++) {
 			this.now += STEP;
@@ -42,35 +42,35 @@
 			this.selection.answered("b");
 			this.selection.answered("c");
 		}
-		assertThat(probed).as("asked once within a second").isTrue();
+		assertThat(probed).as("probed within a second").isTrue();
 		this.selection.answered("a");
 		assertThat(choose()).containsExactly("a", "b");
 	}
 
-	// Guards against a data centre that stays unknown when a cut ends, since none of its
-	// gateways is asked any more.
+	// Guards against a data centre that remains unknown after a network partition,
+	// because none of its gateways is contacted any more.
 	@Test
-	void whileNoneAnswersTheHighestRanksAreAsked() {
-		AggregatorSelection elsewhere = new AggregatorSelection("other");
+	void selectsHighestRankedGatewaysWhenNoneResponds() {
+		AggregatorSelection otherSelection = new AggregatorSelection("other");
 		for (int i = 0; i < 40; i++) {
 			this.now += STEP;
-			elsewhere.choose(RANKED, this.now);
+			otherSelection.choose(RANKED, this.now);
 		}
-		assertThat(elsewhere.choose(RANKED, this.now)).containsExactly("a", "b");
+		assertThat(otherSelection.choose(RANKED, this.now)).containsExactly("a", "b");
 	}
 
 	@Test
-	void choosesItselfWhenThoseBeforeItAreGone() {
-		play(40, "c");
+	void selectsItselfWhenHigherRankedGatewaysFail() {
+		runSteps(40, "c");
 		assertThat(choose()).containsExactly("c", "d");
 	}
 
-	private void play(int steps, String... answering) {
+	private void runSteps(int steps, String... responding) {
 		for (int i = 0; i < steps; i++) {
 			this.now += STEP;
-			List<String> asked = choose();
-			for (String name : answering) {
-				if (asked.contains(name)) {
+			List<String> selected = choose();
+			for (String name : responding) {
+				if (selected.contains(name)) {
 					this.selection.answered(name);
 				}
 			}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/LeaseKeeperTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/LeaseKeeperTests.java
@@ -20,7 +20,7 @@
 	private static final Duration LEASE = Duration.ofSeconds(6);
 
 	@Test
-	void claimsAnEmptyTopicAtOnce() {
+	void claimsEmptyTopicImmediately() {
 		Topic topic = new Topic();
 		LeaseKeeper keeper = keeper(1);
 		topic.read(keeper, 0);
@@ -29,10 +29,11 @@
 		assertThat(keeper.fence()).isEqualTo(1);
 	}
 
-	// Two gateways start together and see the same empty topic. The store takes one
-	// append; the other is told that the topic has moved, and must not act.
+	// Guards against two holders when two gateways start simultaneously and read the
+	// same empty topic. The store accepts one append and rejects the other, because the
+	// end of the topic has changed.
 	@Test
-	void ofTwoClaimantsOneFails() {
+	void onlyOneOfTwoConcurrentClaimantsSucceeds() {
 		Topic topic = new Topic();
 		LeaseKeeper first = keeper(1);
 		LeaseKeeper second = keeper(2);
@@ -46,14 +47,15 @@
 		assertThat(second.toAppend(List.of(), List.of(), false, MILLISECOND)).isNull();
 	}
 
-	// The answer to a claim is lost, though the store took it. The claimant doesn't act
-	// on a guess; it finds its own record, renews it, and acts from then on.
+	// Guards against a claimant that acts on a claim with an unknown outcome: the store
+	// accepted the append, but the response was lost. The claimant must read its own
+	// record and renew it before it acts.
 	@Test
-	void aClaimWhoseAnswerWasLostIsFoundInTheTopic() {
+	void recoversClaimWhoseResponseWasLost() {
 		Topic topic = new Topic();
 		LeaseKeeper keeper = keeper(1);
 		topic.read(keeper, 0);
-		topic.appendAndLoseTheAnswer(keeper, 0);
+		topic.appendAndLoseResponse(keeper, 0);
 		assertThat(keeper.holds(0)).isFalse();
 		topic.read(keeper, MILLISECOND);
 		assertThat(keeper.holds(MILLISECOND)).isFalse();
@@ -63,7 +65,7 @@
 	}
 
 	@Test
-	void aReportThatMustBeWrittenDownIsAppendedBeforeARenewalIsDue() {
+	void urgentReportIsAppendedBeforeRenewalIsDue() {
 		Topic topic = new Topic();
 		LeaseKeeper keeper = keeper(1);
 		topic.read(keeper, 0);
@@ -75,95 +77,98 @@
 
 	// Guards against seconds without a holder after all processes were killed at once.
 	@Test
-	void aRestartedHolderClaimsAtOnceAndOthersWait() {
+	void restartedHolderClaimsImmediatelyWhileOthersWait() {
 		Topic topic = new Topic();
-		LeaseKeeper killed = keeper(1);
-		topic.read(killed, 0);
-		topic.append(killed, 0);
-		LeaseKeeper restarted = new LeaseKeeper("edge-1", 7, LEASE, 0, MILLISECOND);
+		LeaseKeeper killedProcess = keeper(1);
+		topic.read(killedProcess, 0);
+		topic.append(killedProcess, 0);
+		LeaseKeeper restartedProcess = new LeaseKeeper("edge-1", 7, LEASE, 0, MILLISECOND);
 		LeaseKeeper other = new LeaseKeeper("edge-2", 8, LEASE, 0, MILLISECOND);
 		topic.read(other, MILLISECOND);
 		assertThat(other.toAppend(List.of(), List.of(), false, MILLISECOND)).isNull();
-		topic.read(restarted, MILLISECOND);
-		topic.append(restarted, MILLISECOND);
-		assertThat(restarted.holds(MILLISECOND)).isTrue();
-		assertThat(restarted.fence()).isGreaterThan(killed.fence());
+		topic.read(restartedProcess, MILLISECOND);
+		topic.append(restartedProcess, MILLISECOND);
+		assertThat(restartedProcess.holds(MILLISECOND)).isTrue();
+		assertThat(restartedProcess.fence()).isGreaterThan(killedProcess.fence());
 	}
 
-	// Four gateways lose the store and come back at random, for twenty minutes. At no
-	// moment do two of them hold the lease, the fence never falls, and no holder that
-	// lost it acts again within a lease's time of another.
+	// Guards against two concurrent holders and decreasing fences while four gateways
+	// lose and regain the store at random for twenty minutes. A holder that lost the
+	// lease must not act during the lease of another gateway.
 	@Test
-	void neverTwoHoldersAndTheFenceOnlyGrows() {
+	void atMostOneHolderAndFenceNeverDecreases() {
 		SplittableRandom random = new SplittableRandom(11);
 		Topic topic = new Topic();
 		List<LeaseKeeper> keepers = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
 			keepers.add(keeper(i + 1));
 		}
-		boolean[] away = new boolean[4];
-		long highest = 0;
-		int changes = 0;
+		boolean[] disconnected = new boolean[4];
+		long highestFence = 0;
+		int holderChanges = 0;
 		for (long now = 0; now < 1_200_000 * MILLISECOND; now += 200 * MILLISECOND) {
 			int holders = 0;
 			for (int i = 0; i < 4; i++) {
 				LeaseKeeper keeper = keepers.get(i);
-				away[i] = (random.nextInt(100) == 0) != away[i];
-				if (!away[i]) {
+				disconnected[i] = (random.nextInt(100) == 0) != disconnected[i];
+				if (!disconnected[i]) {
 					topic.read(keeper, now);
 					topic.append(keeper, now);
 				}
 				if (keeper.holds(now)) {
 					holders++;
-					assertThat(keeper.fence()).isGreaterThanOrEqualTo(highest);
-					changes += (keeper.fence() > highest) ? 1 : 0;
-					highest = keeper.fence();
+					assertThat(keeper.fence()).isGreaterThanOrEqualTo(highestFence);
+					holderChanges += (keeper.fence() > highestFence) ? 1 : 0;
+					highestFence = keeper.fence();
 				}
 			}
 			assertThat(holders).as("holders at %s ms", now / MILLISECOND).isLessThanOrEqualTo(1);
 		}
-		assertThat(changes).isGreaterThan(20);
+		assertThat(holderChanges).isGreaterThan(20);
 	}
 
-	// Guards against a holder that stood still while its renewal was on its way, and acts
-	// on the answer after another gateway took over.
+	// Guards against a holder that was paused while its renewal was in flight, and acts
+	// on the response after another gateway took over.
 	@Test
-	void anAnswerThatArrivesAfterAStandstillRenewsNothing() {
+	void responseAfterProcessPauseDoesNotRenewLease() {
 		Topic topic = new Topic();
 		LeaseKeeper keeper = keeper(1);
 		topic.read(keeper, 0);
 		topic.append(keeper, 0);
-		long renewal = LEASE.toNanos() / 3;
-		LeaseRecord renewing = Objects.requireNonNull(keeper.toAppend(List.of(), List.of(), false, renewal));
-		topic.take(keeper, renewing);
-		keeper.stoodStill(renewal + MILLISECOND);
-		keeper.appended(renewing, 1, renewal + 2 * MILLISECOND);
-		assertThat(keeper.holds(renewal + 2 * MILLISECOND)).isFalse();
-		topic.read(keeper, renewal + 3 * MILLISECOND);
-		assertThat(keeper.toAppend(List.of(), List.of(), true, renewal + 3 * MILLISECOND)).as("stays away").isNull();
+		long renewalTime = LEASE.toNanos() / 3;
+		LeaseRecord renewing = Objects.requireNonNull(keeper.toAppend(List.of(), List.of(), false, renewalTime));
+		topic.tryAppend(keeper, renewing);
+		keeper.stoodStill(renewalTime + MILLISECOND);
+		keeper.appended(renewing, 1, renewalTime + 2 * MILLISECOND);
+		assertThat(keeper.holds(renewalTime + 2 * MILLISECOND)).isFalse();
+		topic.read(keeper, renewalTime + 3 * MILLISECOND);
+		assertThat(keeper.toAppend(List.of(), List.of(), true, renewalTime + 3 * MILLISECOND)).as("backs off").isNull();
 	}
 
-	// Guards against two holders of which the one with the lower fence acts last, over
-	// freezes that the steady clock does not show, lost answers and outages.
+	// Guards against a holder that acts after another one with a higher fence, under
+	// process pauses that the monotonic clock does not include, lost responses and
+	// store outages.
 	@Test
-	void noHolderActsAfterOneWithAHigherFence() {
+	void holderNeverActsAfterOneWithHigherFence() {
 		SplittableRandom random = new SplittableRandom(5);
 		Topic topic = new Topic();
-		List<Holder> holders = new ArrayList<>();
+		List<SimulatedGateway> gateways = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
-			holders.add(new Holder(keeper(i + 1)));
+			gateways.add(new SimulatedGateway(keeper(i + 1)));
 		}
-		long highest = 0;
-		int changes = 0;
+		long highestFence = 0;
+		int holderChanges = 0;
 		for (long now = 0; now < 3_600_000 * MILLISECOND; now += 200 * MILLISECOND) {
-			for (Holder holder : holders) {
-				long acted = holder.play(topic, random, now);
-				assertThat(acted == 0 || acted >= highest).as("fence %s after %s", acted, highest).isTrue();
-				changes += (acted > highest) ? 1 : 0;
-				highest = Math.max(highest, acted);
+			for (SimulatedGateway gateway : gateways) {
+				long actingFence = gateway.step(topic, random, now);
+				assertThat(actingFence == 0 || actingFence >= highestFence)
+					.as("fence %s after %s", actingFence, highestFence)
+					.isTrue();
+				holderChanges += (actingFence > highestFence) ? 1 : 0;
+				highestFence = Math.max(highestFence, actingFence);
 			}
 		}
-		assertThat(changes).isGreaterThan(20);
+		assertThat(holderChanges).isGreaterThan(20);
 	}
 
 	private static LeaseKeeper keeper(long incarnation) {
@@ -171,83 +176,84 @@
 	}
 
 	/**
-	 * A gateway that freezes, loses the store, and gets answers late or never.
+	 * A simulated gateway that pauses, loses the store, and receives responses late or
+	 * never.
 	 */
-	private static final class Holder {
+	private static final class SimulatedGateway {
 
 		private final LeaseKeeper keeper;
 
-		private long frozenUntil;
+		private long pausedUntil;
 
-		private long stoodStill;
+		private long pausedNanos;
 
-		private boolean thawed;
+		private boolean resumed;
 
-		private boolean away;
+		private boolean disconnected;
 
 		private @Nullable LeaseRecord pending;
 
-		private long answerAt;
+		private long responseAt;
 
-		private long offset;
+		private long appendedOffset;
 
-		Holder(LeaseKeeper keeper) {
+		SimulatedGateway(LeaseKeeper keeper) {
 			this.keeper = keeper;
 		}
 
-		// Returns the fence that it acts with, or 0 if it does not act.
-		long play(Topic topic, SplittableRandom random, long now) {
-			if (now < this.frozenUntil) {
+		// Returns the fence with which the gateway acts, or 0 if it does not act.
+		long step(Topic topic, SplittableRandom random, long now) {
+			if (now < this.pausedUntil) {
 				return 0;
 			}
-			long steady = now - this.stoodStill;
-			boolean answersFirst = random.nextBoolean();
-			if (answersFirst) {
-				receive(now, steady);
+			long monotonicNow = now - this.pausedNanos;
+			boolean receivesFirst = random.nextBoolean();
+			if (receivesFirst) {
+				receive(now, monotonicNow);
 			}
-			if (this.thawed) {
-				this.thawed = false;
-				this.keeper.stoodStill(steady);
+			if (this.resumed) {
+				this.resumed = false;
+				this.keeper.stoodStill(monotonicNow);
 			}
-			long acts = this.keeper.holds(steady) ? this.keeper.fence() : 0;
-			if (!answersFirst) {
-				receive(now, steady);
+			long actingFence = this.keeper.holds(monotonicNow) ? this.keeper.fence() : 0;
+			if (!receivesFirst) {
+				receive(now, monotonicNow);
 			}
-			this.away = (random.nextInt(60) == 0) != this.away;
-			if (!this.away) {
-				topic.read(this.keeper, steady);
-				send(topic, random, now, steady);
+			this.disconnected = (random.nextInt(60) == 0) != this.disconnected;
+			if (!this.disconnected) {
+				topic.read(this.keeper, monotonicNow);
+				send(topic, random, now, monotonicNow);
 			}
 			if (random.nextInt(100) == 0) {
-				freeze(now, Duration.ofSeconds(1 + random.nextInt(20)).toNanos());
+				pause(now, Duration.ofSeconds(1 + random.nextInt(20)).toNanos());
 			}
-			return acts;
+			return actingFence;
 		}
 
-		private void freeze(long now, long time) {
-			this.frozenUntil = now + time;
-			this.stoodStill += time;
-			this.thawed = true;
+		private void pause(long now, long nanos) {
+			this.pausedUntil = now + nanos;
+			this.pausedNanos += nanos;
+			this.resumed = true;
 		}
 
-		private void send(Topic topic, SplittableRandom random, long now, long steady) {
-			LeaseRecord record = this.keeper.toAppend(List.of(), List.of(), false, steady);
+		private void send(Topic topic, SplittableRandom random, long now, long monotonicNow) {
+			LeaseRecord record = this.keeper.toAppend(List.of(), List.of(), false, monotonicNow);
 			if (record == null) {
 				return;
 			}
 			this.pending = record;
-			this.offset = topic.take(this.keeper, record) ? topic.records.size() - 1L : -1;
-			this.answerAt = now + random.nextInt(600) * MILLISECOND;
+			this.appendedOffset = topic.tryAppend(this.keeper, record) ? topic.records.size() - 1L : -1;
+			this.responseAt = now + random.nextInt(600) * MILLISECOND;
 		}
 
-		private void receive(long now, long steady) {
+		private void receive(long now, long monotonicNow) {
 			LeaseRecord record = this.pending;
-			if (record == null || now < this.answerAt) {
+			if (record == null || now < this.responseAt) {
 				return;
 			}
 			this.pending = null;
-			if (this.offset >= 0) {
-				this.keeper.appended(record, this.offset, steady);
+			if (this.appendedOffset >= 0) {
+				this.keeper.appended(record, this.appendedOffset, monotonicNow);
 			}
 			else {
 				this.keeper.notAppended(record);
@@ -260,16 +266,16 @@
 
 		private final List<LeaseRecord> records = new ArrayList<>();
 
-		private final Map<LeaseKeeper, Integer> readTo = new HashMap<>();
+		private final Map<LeaseKeeper, Integer> nextOffsets = new HashMap<>();
 
 		private void read(LeaseKeeper keeper, long now) {
-			int from = this.readTo.getOrDefault(keeper, 0);
-			this.records.subList(from, this.records.size()).forEach((record) -> keeper.read(record, now));
-			this.readTo.put(keeper, this.records.size());
+			int nextOffset = this.nextOffsets.getOrDefault(keeper, 0);
+			this.records.subList(nextOffset, this.records.size()).forEach((record) -> keeper.read(record, now));
+			this.nextOffsets.put(keeper, this.records.size());
 			keeper.ends(this.records.size());
 		}
 
-		private boolean take(LeaseKeeper keeper, LeaseRecord record) {
+		private boolean tryAppend(LeaseKeeper keeper, LeaseRecord record) {
 			return keeper.expectedEnd() == this.records.size() && this.records.add(record);
 		}
 
@@ -278,7 +284,7 @@
 			if (record == null) {
 				return;
 			}
-			if (take(keeper, record)) {
+			if (tryAppend(keeper, record)) {
 				keeper.appended(record, this.records.size() - 1L, now);
 			}
 			else {
@@ -286,9 +292,9 @@
 			}
 		}
 
-		private void appendAndLoseTheAnswer(LeaseKeeper keeper, long now) {
+		private void appendAndLoseResponse(LeaseKeeper keeper, long now) {
 			LeaseRecord record = Objects.requireNonNull(keeper.toAppend(List.of(), List.of(), false, now));
-			take(keeper, record);
+			tryAppend(keeper, record);
 			keeper.notAppended(record);
 		}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/PeerTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/PeerTableTests.java
@@ -31,24 +31,24 @@
 	private final PeerTable peerTable = new PeerTable(9, NEAR);
 
 	@Test
-	void tellsWhatAGatewayAcceptedSinceItsLastReport() {
+	void returnsQuotaUsedSincePreviousReport() {
 		assertThat(this.peerTable.read(report(1000), 0)).isEmpty();
 		assertThat(this.peerTable.read(report(1400), SECOND / 4)).containsEntry(ACCOUNT, 400.0);
 	}
 
-	// Guards against an account that is locked out at all gateways when a cut ends, since
-	// what the other side accepted meanwhile is charged once more.
+	// Guards against an account that is rejected at all gateways after a network
+	// partition, because the usage accepted on the other side is charged in full.
 	@Test
-	void whatWasLeftToAnUnreachableGatewayIsNotChargedOnceMore() {
+	void usageDuringPartitionIsNotChargedInFull() {
 		this.peerTable.read(report(0), 0);
 		double charged = this.peerTable.read(report(60_000), 6 * SECOND).getOrDefault(ACCOUNT, 0.0);
-		assertThat(charged).as("what it accepted before it was unreachable").isBetween(10_000.0, 20_000.0);
+		assertThat(charged).as("usage accepted before it became unreachable").isBetween(10_000.0, 20_000.0);
 	}
 
-	// Guards against requests that wait out their deadlines at endpoints of a data centre
-	// that is cut off.
+	// Guards against requests that exceed their deadlines at endpoints of an
+	// unreachable data centre.
 	@Test
-	void aDataCentreNoneOfWhoseGatewaysRespondsMayBeCutOff() {
+	void dataCenterWithoutRespondingGatewayIsUnreachable() {
 		this.peerTable.read(report(1, "near"), 0);
 		this.peerTable.read(report(2, "far"), 0);
 		this.peerTable.read(report(3, "far"), 0);
@@ -61,10 +61,10 @@
 		assertThat(unreachableDataCenters(2 * SECOND)).extracting(DataCenterName::value).containsExactly("far");
 	}
 
-	// Guards against missed changes when one of the three gateways dies that read the
-	// store for the rest.
+	// Guards against missed changes when one of the three gateways that read the store
+	// on behalf of the fleet fails.
 	@Test
-	void aFewGatewaysReadForAllAndOthersStepInWhenTheyDoNotRespond() {
+	void otherGatewaysReadWhenTooFewReadersRespond() {
 		for (long incarnation = 1; incarnation <= 3; incarnation++) {
 			this.peerTable.read(reading(incarnation), 0);
 		}
@@ -75,9 +75,9 @@
 		assertThat(this.peerTable.view(SECOND).readingIsLeftToOthers(9)).isFalse();
 	}
 
-	// Guards against reading that is left to a gateway that cannot reach the store.
+	// Guards against relying on a gateway that cannot reach the store.
 	@Test
-	void aGatewayThatDoesNotReadDoesNotCount() {
+	void gatewayThatDoesNotReadStoreIsNotCountedAsReader() {
 		this.peerTable.read(reading(1), 0);
 		this.peerTable.read(reading(2), 0);
 		this.peerTable.read(report(3, "near"), 0);
@@ -85,7 +85,7 @@
 	}
 
 	@Test
-	void anAggregatorAddsUpItsGroupAndTheOthers() {
+	void aggregatorAddsUpItsGroupAndOtherGroups() {
 		this.peerTable.read(loaded(1, 2), 0);
 		this.peerTable.read(loaded(2, 3), 0);
 		this.peerTable.read(summary(5, "far", 10), 0);
@@ -97,19 +97,20 @@
 		assertThat(this.peerTable.fleetSummary(0).gateways()).isEqualTo(13);
 	}
 
-	// Guards against loads that count twice while two aggregators report the same group.
+	// Guards against loads that are counted twice when two aggregators report the same
+	// group.
 	@Test
-	void ofTwoSummariesOfAGroupOneCounts() {
+	void onlyOneOfTwoSummariesOfGroupIsCounted() {
 		this.peerTable.read(summary(5, "far", 10), 0);
 		this.peerTable.read(summary(6, "far", 9), 0);
 		assertThat(this.peerTable.view(0).others()).isEqualTo(10);
 		this.peerTable.read(summary(6, "far", 9), SECOND);
-		assertThat(this.peerTable.view(SECOND).others()).as("the other one died").isEqualTo(9);
+		assertThat(this.peerTable.view(SECOND).others()).as("other aggregator failed").isEqualTo(9);
 	}
 
-	// Guards against a gateway that counts its own requests as others' load.
+	// Guards against a gateway that counts its own requests as load of the others.
 	@Test
-	void whoIsNoAggregatorSubtractsItselfFromTheFleet() {
+	void nonAggregatorSubtractsItselfFromFleet() {
 		this.peerTable.configure(false, Set.of("near", "far"), RESPONSE_TIMEOUT);
 		this.peerTable.ownReport(loaded(9, 2));
 		this.peerTable.read(fleet(5, 12), 0);
@@ -119,10 +120,10 @@
 		assertThat(view.work()).containsEntry(SERVICE, 100.0);
 	}
 
-	// Guards against a holder of the lease that takes itself for another one, and reads
-	// the topic of the lease too seldom to renew it.
+	// Guards against a lease holder that mistakes itself for another gateway and polls
+	// the leases topic too rarely to renew the lease.
 	@Test
-	void theLeaseIsHeldElsewhereOnlyByAnother() {
+	void ownLeaseIsNotReportedAsHeldElsewhere() {
 		this.peerTable.configure(false, Set.of("near"), RESPONSE_TIMEOUT);
 		this.peerTable.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 9, KnownState.NONE, List.of()), 0);
 		assertThat(this.peerTable.view(0).leaseHeld()).isFalse();
@@ -130,10 +131,10 @@
 		assertThat(this.peerTable.view(0).leaseHeld()).isTrue();
 	}
 
-	// Guards against a gateway that goes on with the loads and readers of a fleet that it
-	// no longer reaches.
+	// Guards against a gateway that continues to use the loads and readers of a fleet
+	// that it can no longer reach.
 	@Test
-	void aSummaryThatIsOutOfDateTellsOnlyTheSizeOfTheFleet() {
+	void expiredSummaryProvidesOnlyFleetSize() {
 		this.peerTable.configure(false, Set.of("near"), RESPONSE_TIMEOUT);
 		this.peerTable.read(fleet(5, 12), 0);
 		FleetView view = this.peerTable.view(2 * SECOND);
@@ -143,11 +144,11 @@
 		assertThat(view.readers()).isEmpty();
 	}
 
-	// Guards against a group that counts once under its gateways' names and once under
-	// its
-	// data centre's when the fleet outgrows the direct exchange.
+	// Guards against gateways that are counted twice when the fleet outgrows the direct
+	// exchange: once in groups named after the gateways and once in the group of their
+	// data centre.
 	@Test
-	void groupsThatAreNoMoreAreForgotten() {
+	void removedGroupsAreNotCounted() {
 		this.peerTable.read(summary(5, "far-1", 1), 0);
 		this.peerTable.configure(true, Set.of("near", "far"), RESPONSE_TIMEOUT);
 		this.peerTable.read(summary(5, "far", 10), 0);
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
@@ -24,92 +24,89 @@
 
 	private static final DataCenterName MIDDLE = new DataCenterName("b");
 
-	private static final DataCenterName DEAR = new DataCenterName("c");
+	private static final DataCenterName EXPENSIVE = new DataCenterName("c");
 
 	private static final ScalingLimits LIMITS = new ScalingLimits(1, 6, Duration.ofSeconds(4), 0.15,
-			Map.of(CHEAP, 0.85, MIDDLE, 1.0, DEAR, 1.2));
+			Map.of(CHEAP, 0.85, MIDDLE, 1.0, EXPENSIVE, 1.2));
 
-	private final ScalingPolicy orders = new ScalingPolicy();
+	private final ScalingPolicy policy = new ScalingPolicy();
 
 	@Test
-	void ordersReclaimableEndpointsEverywhereAndKeepsTheLastingOnesUntilTheyRun() {
+	void ordersReclaimableEndpointsEverywhereAndKeepsOnDemandOnesUntilTheyRun() {
 		List<EndpointEntry> listed = listed(2, 0);
 		assertThat(total(decide(listed, 1900, 0), true)).isGreaterThanOrEqualTo(6);
 		assertThat(total(decide(listed, 1900, 1), false)).isEqualTo(4);
 	}
 
 	@Test
-	void givesLastingEndpointsBackOnceReclaimableOnesRun() {
+	void releasesOnDemandEndpointsOnceReclaimableOnesRun() {
 		List<EndpointEntry> listed = listed(2, 2);
 		assertThat(total(decide(listed, 1900, 0), false)).isZero();
 	}
 
-	// All reclaimable endpoints of two data centres are taken away, and no more are
-	// available. Those that are left can go at one blow, so on-demand ones are ordered at
-	// once for all that is needed, and the reclaimable ones that are left are kept.
+	// Guards against a capacity shortage after all reclaimable endpoints of two data
+	// centres were reclaimed without replacements. The remaining ones can be reclaimed
+	// at once too, so on-demand endpoints are ordered immediately for the entire
+	// demand, and the remaining reclaimable ones are kept.
 	@Test
-	void lastingEndpointsStandInWhereReclaimableOnesWereTakenAway() {
+	void onDemandEndpointsReplaceReclaimedOnes() {
 		decide(listed(0, 2), 1900, 0);
-		List<EndpointEntry> left = new ArrayList<>();
-		add(left, CHEAP, 2, true);
-		List<ScalingPolicy.Order> orders = decide(left, 1900, 1);
+		List<EndpointEntry> remaining = new ArrayList<>();
+		add(remaining, CHEAP, 2, true);
+		List<ScalingPolicy.Order> orders = decide(remaining, 1900, 1);
 		assertThat(total(orders, false)).isEqualTo(4);
 		assertThat(orders).filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
 			.singleElement()
 			.satisfies((order) -> assertThat(order.count()).isGreaterThanOrEqualTo(2));
 	}
 
-	// All reclaimable endpoints of one data centre are taken away, and no more are to be
-	// had anywhere; a few seconds later those of the next one go. Callers wait at the
-	// last
-	// data centre's few endpoints for as long as a start takes, unless on-demand ones
-	// were
-	// ordered at the first loss.
+	// Guards against a shortage for the duration of a start: all reclaimable endpoints
+	// of one data centre are reclaimed without replacements, and those of the next one
+	// a few seconds later. On-demand endpoints must be ordered at the first loss.
 	@Test
-	void lastingEndpointsAreOrderedBeforeTheLastDataCentreIsTakenAway() {
+	void onDemandEndpointsAreOrderedBeforeLastDataCenterIsReclaimed() {
 		decide(listed(0, 3), 1900, 0);
-		List<EndpointEntry> left = new ArrayList<>();
-		add(left, CHEAP, 3, true);
-		assertThat(total(decide(left, 1900, 1), false)).isGreaterThanOrEqualTo(3);
+		List<EndpointEntry> remaining = new ArrayList<>();
+		add(remaining, CHEAP, 3, true);
+		assertThat(total(decide(remaining, 1900, 1), false)).isGreaterThanOrEqualTo(3);
 	}
 
-	// No reclaimable endpoints are available, and the one that orders has just taken over
-	// and remembers no load. Those it gave back in a calm second would be missing for as
-	// long as none are available, and on-demand ones be ordered in their place.
+	// Guards against a new lease holder without load history that releases reclaimable
+	// endpoints during low load while none are available. They could not be replaced,
+	// and on-demand endpoints would be ordered instead.
 	@Test
-	void nothingReclaimableIsGivenBackWhileNoMoreAreAvailable() {
-		List<EndpointEntry> left = new ArrayList<>();
-		add(left, CHEAP, 5, true);
-		assertThat(decide(left, 100, false, 0)).filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
+	void reclaimableEndpointsAreKeptWhileNoMoreAreAvailable() {
+		List<EndpointEntry> remaining = new ArrayList<>();
+		add(remaining, CHEAP, 5, true);
+		assertThat(decide(remaining, 100, false, 0))
+			.filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
 			.singleElement()
 			.satisfies((order) -> assertThat(order.count()).isEqualTo(5));
 	}
 
 	@Test
-	void nothingLastingIsOrderedForALossThatTheOtherDataCentresCover() {
+	void noOnDemandEndpointIsOrderedWhenOtherDataCentersCoverLoss() {
 		assertThat(total(decide(listed(0, 3), 1900, 0), false)).isZero();
 	}
 
-	// A burst of three times the load passes. What was ordered for it stays for the next
-	// one.
+	// Guards against scaling down immediately after a burst of three times the load:
+	// its endpoints are retained for the next one.
 	@Test
-	void ordersGrowAtOnceAndShrinkLater() {
+	void scalesUpImmediatelyAndScalesDownLater() {
 		List<EndpointEntry> listed = listed(1, 4);
-		int calm = total(decide(listed, 1000, true, 0), true);
-		int burst = total(decide(listed, 3000, true, 1), true);
-		assertThat(burst).isGreaterThan(calm);
-		assertThat(total(decide(listed, 1000, true, 20), true)).isEqualTo(burst);
-		assertThat(total(decide(listed, 1000, true, 60), true)).isEqualTo(calm);
-	}
-
-	// While no reclaimable endpoints were available, on-demand ones filled all places of
-	// all
-	// data centres. Reclaimable ones are available again, but have nowhere to start. Each
-	// second what was ordered runs, so the on-demand ones must have made room after a
-	// few.
-	// Until then callers need what is left in sum.
+		int lowLoadCount = total(decide(listed, 1000, true, 0), true);
+		int burstCount = total(decide(listed, 3000, true, 1), true);
+		assertThat(burstCount).isGreaterThan(lowLoadCount);
+		assertThat(total(decide(listed, 1000, true, 20), true)).isEqualTo(burstCount);
+		assertThat(total(decide(listed, 1000, true, 60), true)).isEqualTo(lowLoadCount);
+	}
+
+	// Guards against on-demand endpoints that permanently occupy all capacity of all
+	// data centres after reclaimable ones are available again. Each simulated second,
+	// the ordered endpoints run, so the on-demand ones must be released within a few
+	// seconds. The total must not fall below the demand until then.
 	@Test
-	void lastingEndpointsThatFillAllPlacesMakeRoomForReclaimableOnes() {
+	void onDemandEndpointsAtMaximumAreReplacedByReclaimableOnes() {
 		List<EndpointEntry> listed = listed(6, 0);
 		for (int second = 0; second < 12; second++) {
 			List<ScalingPolicy.Order> orders = decide(listed, 6000, true, second);
@@ -122,98 +119,100 @@
 		assertThat(total(decide(listed, 6000, true, 12), false)).isLessThanOrEqualTo(3);
 	}
 
-	// A on-demand endpoint was ordered and starts. A cheaper data centre gets a free
-	// place
-	// meanwhile. An order that moved there would end the start, and callers would wait
-	// for
-	// a whole one again.
+	// Guards against an order that moves to a cheaper data centre while its on-demand
+	// endpoint is starting: the start would be aborted, and callers would wait for
+	// another complete start.
 	@Test
-	void anOrderStaysWhereItsEndpointStarts() {
+	void orderDoesNotMoveWhileEndpointIsStarting() {
 		List<EndpointEntry> listed = new ArrayList<>();
 		add(listed, CHEAP, 6, true);
 		add(listed, MIDDLE, 6, true);
-		assertThat(onDemandIn(DEAR, decide(listed, 4700, 0))).isEqualTo(2);
+		assertThat(onDemandIn(EXPENSIVE, decide(listed, 4700, 0))).isEqualTo(2);
 		List<EndpointEntry> changed = new ArrayList<>();
 		add(changed, CHEAP, 4, true);
 		add(changed, MIDDLE, 6, true);
-		add(changed, DEAR, 2, true);
-		assertThat(onDemandIn(DEAR, decide(changed, 4700, 1))).isEqualTo(2);
+		add(changed, EXPENSIVE, 2, true);
+		assertThat(onDemandIn(EXPENSIVE, decide(changed, 4700, 1))).isEqualTo(2);
 	}
 
-	// A data centre is cut off, so that its endpoints' entries lapse. They run on and are
-	// back after some seconds. Orders for this data centre would take them away, and what
-	// started there would be out of reach as well.
+	// Guards against orders for an unreachable data centre. During a network partition
+	// the entries of its endpoints expire, but the endpoints keep running and are
+	// listed again after some seconds. Orders would stop them, and new endpoints would
+	// be unreachable too.
 	@Test
-	void nothingIsOrderedInADataCentreThatFellSilent() {
+	void nothingIsOrderedInUnreachableDataCenter() {
 		decide(listed(1, 3), 4700, true, 0);
-		List<EndpointEntry> left = new ArrayList<>();
-		add(left, CHEAP, 3, true);
-		add(left, MIDDLE, 3, true);
-		assertThat(decide(left, 4700, true, 1)).isNotEmpty().noneMatch((order) -> order.zone().equals(DEAR));
-		assertThat(decide(left, 4700, true, 30)).anyMatch((order) -> order.zone().equals(DEAR));
+		List<EndpointEntry> remaining = new ArrayList<>();
+		add(remaining, CHEAP, 3, true);
+		add(remaining, MIDDLE, 3, true);
+		assertThat(decide(remaining, 4700, true, 1)).isNotEmpty().noneMatch((order) -> order.zone().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 30)).anyMatch((order) -> order.zone().equals(EXPENSIVE));
 	}
 
 	@Test
-	void aDataCentreWhoseEndpointsSaidThatTheyLeaveIsNotTakenForCutOff() {
+	void dataCenterWithDrainedEndpointsIsNotConsideredUnreachable() {
 		List<EndpointEntry> leaving = new ArrayList<>();
 		add(leaving, CHEAP, 3, true);
 		leaving.add(new EndpointEntry(new EndpointId("d"), new ServiceName("engines"), "v1",
-				new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), DEAR, 64, true, true, 1));
+				new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), EXPENSIVE, 64, true, true, 1));
 		decide(leaving, 4700, true, 0);
-		List<EndpointEntry> left = new ArrayList<>();
-		add(left, CHEAP, 3, true);
-		assertThat(decide(left, 4700, true, 1)).anyMatch((order) -> order.zone().equals(DEAR));
+		List<EndpointEntry> remaining = new ArrayList<>();
+		add(remaining, CHEAP, 3, true);
+		assertThat(decide(remaining, 4700, true, 1)).anyMatch((order) -> order.zone().equals(EXPENSIVE));
 	}
 
-	// A fleet starts some seconds before its callers come. Fifteen on-demand endpoints
-	// stand there; as many reclaimable ones must run when the callers are there.
+	// Guards against a fleet that is scaled down before its first request. It starts
+	// some seconds earlier with fifteen on-demand endpoints, and as many reclaimable
+	// ones must run when requests arrive.
 	@Test
-	void beforeAnyCallerComesAsManyAreOrderedAsStand() {
+	void initialCapacityIsKeptBeforeFirstRequest() {
 		List<ScalingPolicy.Order> first = decide(listed(5, 0), 0, 0);
 		assertThat(total(first, true)).isGreaterThanOrEqualTo(15);
 		assertThat(total(decide(listed(0, 5), 0, true, 15), true)).isGreaterThanOrEqualTo(15);
 		assertThat(total(decide(listed(0, 5), 1000, true, 40), true)).isLessThan(15);
 	}
 
-	// Two hundred streams run at once on engines with 64 slots each, and their prompts
-	// need little time. On-demand engines that are billed in full would run a fifth full.
+	// Guards against low utilization of on-demand engines, which are billed in full:
+	// with 200 concurrent streams with short prompts on engines of 64 slots, a fifth of
+	// the slots would be used.
 	@Test
-	void onDemandEndpointsAreFilledToMostOfTheirSlots() {
-		List<ScalingPolicy.Order> orders = this.orders.decide(LIMITS, listed(2, 0), 1000, 200, false, 0);
+	void onDemandEndpointsUseMostOfTheirSlots() {
+		List<ScalingPolicy.Order> orders = this.policy.decide(LIMITS, listed(2, 0), 1000, 200, false, 0);
 		assertThat(total(orders, false)).isBetween(200 / 64, 2 * 200 / 64);
 	}
 
 	@Test
-	void lastingEndpointsStayWhileNoReclaimableOnesAreToBeHad() {
+	void onDemandEndpointsRemainWhileNoReclaimableOnesAreAvailable() {
 		for (int second = 0; second < 12; second++) {
 			assertThat(total(decide(listed(6, 0), 6000, second), false)).isEqualTo(10);
 		}
 	}
 
 	@Test
-	void keepsToTheMostAndTheFewestOfADataCentre() {
-		for (int work = 0; work < 40_000; work += 1000) {
-			List<ScalingPolicy.Order> orders = new ScalingPolicy().decide(LIMITS, listed(1, 2), work, 0, true, 0);
-			for (DataCenterName zone : List.of(CHEAP, MIDDLE, DEAR)) {
-				int both = orders.stream()
-					.filter((order) -> order.zone().equals(zone))
+	void observesMinimumAndMaximumPerDataCenter() {
+		for (int demand = 0; demand < 40_000; demand += 1000) {
+			List<ScalingPolicy.Order> orders = new ScalingPolicy().decide(LIMITS, listed(1, 2), demand, 0, true, 0);
+			for (DataCenterName dataCenter : List.of(CHEAP, MIDDLE, EXPENSIVE)) {
+				int total = orders.stream()
+					.filter((order) -> order.zone().equals(dataCenter))
 					.mapToInt(ScalingPolicy.Order::count)
 					.sum();
-				assertThat(both).as("work %s", work).isBetween(LIMITS.fewest(), LIMITS.most());
+				assertThat(total).as("demand %s", demand).isBetween(LIMITS.fewest(), LIMITS.most());
 			}
 		}
 	}
 
-	private static int onDemandIn(DataCenterName zone, List<ScalingPolicy.Order> orders) {
-		return total(orders.stream().filter((order) -> order.zone().equals(zone)).toList(), false);
+	private static int onDemandIn(DataCenterName dataCenter, List<ScalingPolicy.Order> orders) {
+		return total(orders.stream().filter((order) -> order.zone().equals(dataCenter)).toList(), false);
 	}
 
-	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double work, long second) {
-		return decide(listed, work, false, second);
+	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double demand, long second) {
+		return decide(listed, demand, false, second);
 	}
 
-	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double work, boolean toBeHad, long second) {
-		return this.orders.decide(LIMITS, listed, work, 0, toBeHad, second * SECOND);
+	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double demand, boolean reclaimableAvailable,
+			long second) {
+		return this.policy.decide(LIMITS, listed, demand, 0, reclaimableAvailable, second * SECOND);
 	}
 
 	private static int total(List<ScalingPolicy.Order> orders, boolean reclaimable) {
@@ -225,17 +224,18 @@
 
 	private static List<EndpointEntry> listed(int onDemand, int reclaimable) {
 		List<EndpointEntry> entries = new ArrayList<>();
-		for (DataCenterName zone : List.of(CHEAP, MIDDLE, DEAR)) {
-			add(entries, zone, onDemand, false);
-			add(entries, zone, reclaimable, true);
+		for (DataCenterName dataCenter : List.of(CHEAP, MIDDLE, EXPENSIVE)) {
+			add(entries, dataCenter, onDemand, false);
+			add(entries, dataCenter, reclaimable, true);
 		}
 		return entries;
 	}
 
-	private static void add(List<EndpointEntry> entries, DataCenterName zone, int count, boolean reclaimable) {
+	private static void add(List<EndpointEntry> entries, DataCenterName dataCenter, int count, boolean reclaimable) {
 		for (int i = 0; i < count; i++) {
-			entries.add(new EndpointEntry(new EndpointId(zone + "-" + reclaimable + i), new ServiceName("engines"),
-					"v1", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), zone, 64, false, reclaimable, 1));
+			entries.add(new EndpointEntry(new EndpointId(dataCenter + "-" + reclaimable + i),
+					new ServiceName("engines"), "v1", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
+					dataCenter, 64, false, reclaimable, 1));
 		}
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsageLedgerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsageLedgerTests.java
@@ -19,45 +19,46 @@
 		this.ledger.addGateway(1, counts(3));
 		this.ledger.addGateway(2, counts(4));
 		this.ledger.addGroup("far", counts(10));
-		assertThat(this.ledger.counted(7)).containsEntry(ACCOUNT, 17L);
-		assertThat(this.ledger.newestOfGroup().get(7L)).containsEntry(ACCOUNT, 7L);
+		assertThat(this.ledger.counts(7)).containsEntry(ACCOUNT, 17L);
+		assertThat(this.ledger.recentGroupCounts().get(7L)).containsEntry(ACCOUNT, 7L);
 	}
 
-	// Guards against counts that shrink or double when a group's two aggregators heard
-	// different reports.
+	// Guards against counts that decrease or double when the two aggregators of a group
+	// received different reports.
 	@Test
-	void ofTwoCountsOfTheSameGatewaysTheLargerCounts() {
+	void largerOfTwoCountsOfSameGatewaysIsUsed() {
 		this.ledger.addGroup("far", counts(10));
 		this.ledger.addGroup("far", counts(8));
-		assertThat(this.ledger.counted(7)).containsEntry(ACCOUNT, 10L);
+		assertThat(this.ledger.counts(7)).containsEntry(ACCOUNT, 10L);
 		this.ledger.addGroup("far", counts(12));
-		assertThat(this.ledger.counted(7)).containsEntry(ACCOUNT, 12L);
+		assertThat(this.ledger.counts(7)).containsEntry(ACCOUNT, 12L);
 	}
 
-	// Guards against a usage report that lacks what a gateway counted before it died.
+	// Guards against a usage report without the requests that a gateway counted before
+	// it failed.
 	@Test
-	void whatADeadGatewayCountedStays() {
+	void countsOfFailedGatewayAreRetained() {
 		this.ledger.addGateway(1, counts(3));
 		this.ledger.addGateway(2, Map.of(8L, Map.of(ACCOUNT, 1L)));
-		assertThat(this.ledger.counted(7)).containsEntry(ACCOUNT, 3L);
+		assertThat(this.ledger.counts(7)).containsEntry(ACCOUNT, 3L);
 	}
 
-	// Guards against a new holder of the lease that knows only its own counts, though it
-	// received the fleet's.
+	// Guards against a new lease holder that uses only its own counts although it
+	// received those of the fleet.
 	@Test
-	void theFleetsCountStandsInForWhatIsNotKnownOtherwise() {
+	void fleetCountIsUsedWhenLargerThanKnownCounts() {
 		this.ledger.addGateway(1, counts(3));
 		this.ledger.addFleet(counts(20));
-		assertThat(this.ledger.counted(7)).containsEntry(ACCOUNT, 20L);
+		assertThat(this.ledger.counts(7)).containsEntry(ACCOUNT, 20L);
 		this.ledger.addGroup("far", counts(18));
-		assertThat(this.ledger.counted(7)).containsEntry(ACCOUNT, 21L);
+		assertThat(this.ledger.counts(7)).containsEntry(ACCOUNT, 21L);
 	}
 
 	@Test
-	void forgetsGroupsThatAreNoMore() {
+	void removesCountsOfRemovedGroups() {
 		this.ledger.addGroup("far-1", counts(5));
 		this.ledger.retainGroups(Set.of("far"));
-		assertThat(this.ledger.counted(7)).isEmpty();
+		assertThat(this.ledger.counts(7)).isEmpty();
 	}
 
 	private static Map<Long, Map<AccountName, Long>> counts(long count) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsagePlanTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsagePlanTests.java
@@ -21,31 +21,32 @@
 	private final UsagePlan plan = new UsagePlan(this.counter, Instant.ofEpochSecond(1000));
 
 	@Test
-	void namesAWindowOnceItsCountsAreTold() {
+	void reportsWindowOnceItsCountsAreFinal() {
 		assertThat(toName(List.of(), 1005, 3)).isEmpty();
 		assertThat(toName(List.of(), 1008, 3)).extracting(UsageReport::window).containsExactly(200L);
 	}
 
-	// The holder of the lease dies after it wrote a report down and perhaps sent it. Its
-	// successor has heard of more requests since, and must send the counts that were
-	// written.
+	// Guards against two different reports of a window. The lease holder fails after it
+	// recorded a report and possibly sent it. Its successor knows of more requests by
+	// then, but must send the recorded counts.
 	@Test
-	void whatWasWrittenDownIsNeverCountedAnew() {
-		List<UsageReport> written = toName(List.of(), 1008, 3);
-		List<UsageReport> later = toName(written, 1013, 4);
-		assertThat(later.getFirst()).isEqualTo(written.getFirst());
+	void recordedReportIsNeverRecounted() {
+		List<UsageReport> recorded = toName(List.of(), 1008, 3);
+		List<UsageReport> later = toName(recorded, 1013, 4);
+		assertThat(later.getFirst()).isEqualTo(recorded.getFirst());
 		assertThat(later.getLast()).isEqualTo(new UsageReport(201, Map.of(ACCOUNT, 4L)));
 	}
 
 	@Test
-	void afterALongPauseOnlyWindowsThatAreStillDueAreNamed() {
-		List<UsageReport> written = toName(List.of(), 1008, 3);
-		assertThat(toName(written, 1100, 3)).extracting(UsageReport::window).containsExactly(215L, 216L, 217L, 218L);
+	void reportsOnlyWindowsStillDueAfterLongPause() {
+		List<UsageReport> recorded = toName(List.of(), 1008, 3);
+		assertThat(toName(recorded, 1100, 3)).extracting(UsageReport::window).containsExactly(215L, 216L, 217L, 218L);
 	}
 
-	// Guards against a usage report that lacks what a gateway counted before it died.
+	// Guards against a usage report without the requests that a gateway counted before
+	// it failed.
 	@Test
-	void countsStayWhenTheProcessThatCountedIsGone() {
+	void countsAreRetainedAfterTheirProcessExpires() {
 		PeerTable peerTable = new PeerTable(9, new DataCenterName("zone"));
 		peerTable.read(counted(1, 3), 0);
 		peerTable.read(counted(2, 4), 0);
@@ -57,7 +58,7 @@
 	}
 
 	@Test
-	void tellsWhatAGatewayAcceptedSinceItsLastReport() {
+	void returnsQuotaUsedSincePreviousReport() {
 		PeerTable peerTable = new PeerTable(9, new DataCenterName("zone"));
 		assertThat(peerTable.read(used(70), 0)).isEmpty();
 		assertThat(peerTable.read(used(100), 1)).containsExactly(Map.entry(ACCOUNT, 30.0));
@@ -79,8 +80,8 @@
 		return new GatewayReport(incarnation, new DataCenterName("zone"), traffic, false, KnownState.NONE);
 	}
 
-	private List<UsageReport> toName(List<UsageReport> named, long second, long count) {
-		return this.plan.toName(named, Instant.ofEpochSecond(second),
+	private List<UsageReport> toName(List<UsageReport> recorded, long second, long count) {
+		return this.plan.toName(recorded, Instant.ofEpochSecond(second),
 				(window) -> new UsageReport(window, Map.of(ACCOUNT, count)));
 	}
 
