--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/AdmissionRule.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/AdmissionRule.java
@@ -6,89 +6,101 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides whether a request is sent on or rejected at once.
+ * Decides whether a request is forwarded or rejected immediately, and derives the
+ * timeouts of a request from its route.
  * <p>
- * More prompts than the engines can read. Without a limit each engine's queue grows until
- * every first event is late, and prefill is spent on requests whose callers have timed
- * out. A request whose answer is predicted past its target is worth a tenth; rejecting it
- * before it is sent keeps those in time that are already there.
+ * Without admission control, an overload lets each engine's queue grow until every first
+ * event is late, and prefill is spent on requests whose callers have timed out. A request
+ * that misses its latency target has a tenth of its value. Rejecting it before it is sent
+ * keeps the requests that are already admitted within their targets.
  */
 public final class AdmissionRule {
 
 	/**
-	 * Of a request's target, the part that its prediction may take: predictions are off
-	 * by a fifth either way, so that most that are sent are in time.
+	 * Maximum predicted latency relative to a request's target. Predictions have an error
+	 * of about a fifth in either direction, so that most admitted requests meet the
+	 * target.
 	 */
-	private static final double SHARE_OF_TARGET = 1.25;
+	private static final double PREDICTION_TARGET_RATIO = 1.25;
 
-	/** Of the time that a caller still waits, the part that its prediction may take. */
-	private static final double SHARE_OF_REMAINING = 0.7;
+	/** Maximum predicted latency relative to the time until the caller's deadline. */
+	private static final double PREDICTION_REMAINING_RATIO = 0.7;
 
 	/**
-	 * Bounds of Retry-After: below, nothing has changed; above, callers give up.
+	 * Bounds of Retry-After: a shorter wait meets unchanged load, and callers give up on
+	 * a longer one.
 	 */
 	private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(200);
 
 	private static final Duration MAXIMUM_RETRY_AFTER = Duration.ofSeconds(4);
 
 	/**
-	 * Of a request's target, the part that a connection may take: then there is time for
-	 * another endpoint.
+	 * Connect timeout relative to a request's target; leaves time for another endpoint.
 	 */
-	private static final double SHARE_TO_CONNECT = 0.25;
+	private static final double CONNECT_TARGET_RATIO = 0.25;
 
 	/**
-	 * A connection takes some ms within a region; below this, a busy VM would be taken
-	 * for a dead one.
+	 * Minimum connect timeout: connecting takes a few ms within a region, and a shorter
+	 * timeout would treat a busy VM as a dead one.
 	 */
-	private static final Duration MINIMUM_CONNECT = Duration.ofMillis(40);
+	private static final Duration MINIMUM_CONNECT_TIMEOUT = Duration.ofMillis(40);
 
 	/**
-	 * A lost packet is sent again after a second, when another endpoint has long
-	 * answered.
+	 * Maximum connect timeout: a lost packet is retransmitted after one second, by which
+	 * time another endpoint would have answered.
 	 */
-	private static final Duration MAXIMUM_CONNECT = Duration.ofMillis(300);
+	private static final Duration MAXIMUM_CONNECT_TIMEOUT = Duration.ofMillis(300);
 
 	/**
-	 * Silence after which a repeatable request tries another endpoint, in targets.
+	 * Time without an answer after which a repeatable request is retried at another
+	 * endpoint, relative to its latency target.
 	 */
-	private static final double SILENCE_TARGETS = 2.0;
+	private static final double RESPONSE_TIMEOUT_FACTOR = 2.0;
 
-	/** Silence within a stream after which it goes on elsewhere, in longest pauses. */
-	private static final double SILENCE_PAUSES = 2.0;
+	/**
+	 * Time without an event after which a stream is resumed at another endpoint, relative
+	 * to the route's longest pause.
+	 */
+	private static final double STREAM_TIMEOUT_FACTOR = 2.0;
 
 	/**
-	 * How long a request waits at most for the first configuration, which is read soon
-	 * after a start. Rejected at once, it would come back only once, to a gateway that
-	 * may have started no sooner; held for longer, it would be late anyway.
+	 * Maximum time that a request waits for the first configuration, which is read soon
+	 * after startup. A request that is rejected immediately is retried only once,
+	 * possibly at a gateway that started no earlier; a request that waits longer is late
+	 * anyway.
 	 */
 	private static final Duration MAXIMUM_STARTUP_WAIT = Duration.ofMillis(800);
 
-	/** A caller that is rejected after a quarter of its time can still go elsewhere. */
-	private static final int PARTS_OF_DEADLINE = 4;
+	/**
+	 * Divisor of a caller's deadline: a caller that is rejected after a quarter of its
+	 * time can still retry elsewhere.
+	 */
+	private static final int DEADLINE_DIVISOR = 4;
 
 	/**
-	 * Decides on a request.
-	 * @param route its route
-	 * @param predicted the time to its answer or first event, if it is sent now
-	 * @param elapsed since it arrived
-	 * @param remaining until its caller gives up
-	 * @return how long the caller is to stay away, or zero if the request is sent
+	 * Decides whether a request is admitted.
+	 * @param route the request's route
+	 * @param predicted the predicted time to its answer or first event, if it is sent now
+	 * @param elapsed the time since its arrival
+	 * @param remaining the time until its caller's deadline
+	 * @return the time after which the caller may retry, or zero if the request is
+	 * admitted
 	 */
 	public Duration retryAfter(Route route, Duration predicted, Duration elapsed, Duration remaining) {
 		Duration total = predicted.plus(elapsed);
-		Duration allowed = scaled(route.latencyTarget(), SHARE_OF_TARGET);
-		boolean late = total.compareTo(allowed) > 0;
-		boolean tooLate = predicted.compareTo(scaled(remaining, SHARE_OF_REMAINING)) > 0;
-		if (!late && !tooLate) {
+		Duration allowed = scaled(route.latencyTarget(), PREDICTION_TARGET_RATIO);
+		boolean exceedsTarget = total.compareTo(allowed) > 0;
+		boolean exceedsRemaining = predicted.compareTo(scaled(remaining, PREDICTION_REMAINING_RATIO)) > 0;
+		if (!exceedsTarget && !exceedsRemaining) {
 			return Duration.ZERO;
 		}
 		return clamp(predicted.minus(route.latencyTarget().dividedBy(2)), MINIMUM_RETRY_AFTER, MAXIMUM_RETRY_AFTER);
 	}
 
 	/**
-	 * Returns how long a caller is to stay away whose request no endpoint accepts yet.
-	 * @param untilAccepted the time until one does
+	 * Returns the time after which a caller may retry a request that no endpoint accepts
+	 * now.
+	 * @param untilAccepted the time until an endpoint accepts it
 	 * @return the time, within the bounds of Retry-After
 	 */
 	public Duration retryAfter(Duration untilAccepted) {
@@ -96,63 +108,65 @@
 	}
 
 	/**
-	 * Returns how long a request may wait for an endpoint while there is none.
-	 * @param route its route
-	 * @param remaining until its caller gives up
-	 * @return the time
+	 * Returns the maximum time that a request waits for an available endpoint.
+	 * @param route the request's route
+	 * @param remaining the time until its caller's deadline
+	 * @return the maximum wait
 	 */
 	public Duration maximumWait(Route route, Duration remaining) {
 		Duration half = route.latencyTarget().dividedBy(2);
-		Duration quarter = remaining.dividedBy(PARTS_OF_DEADLINE);
+		Duration quarter = remaining.dividedBy(DEADLINE_DIVISOR);
 		return (half.compareTo(quarter) < 0) ? half : quarter;
 	}
 
 	/**
-	 * Returns how long a request may wait for the configuration of a process that starts.
-	 * @param deadline how long its caller waits, or {@code null} if it is not stated
-	 * @return the time
+	 * Returns the maximum time that a request waits for the configuration at startup.
+	 * @param deadline the time until its caller's deadline, or {@code null} if unknown
+	 * @return the maximum wait
 	 */
 	public Duration maximumStartupWait(@Nullable Duration deadline) {
 		if (deadline == null) {
 			return MAXIMUM_STARTUP_WAIT;
 		}
-		return clamp(deadline.dividedBy(PARTS_OF_DEADLINE), Duration.ZERO, MAXIMUM_STARTUP_WAIT);
+		return clamp(deadline.dividedBy(DEADLINE_DIVISOR), Duration.ZERO, MAXIMUM_STARTUP_WAIT);
 	}
 
 	/**
-	 * Returns how long a connection may take until another endpoint is tried. Endpoints
-	 * that are cut off don't answer at all, and a request that waited for one is late
-	 * anywhere.
+	 * Returns the connect timeout, after which another endpoint is tried. A partitioned
+	 * endpoint does not answer at all, and a request that waits for it is late at any
+	 * other endpoint.
 	 * @param route the request's route
-	 * @return the time
+	 * @return the timeout
 	 */
 	public Duration connectTimeout(Route route) {
-		return clamp(scaled(route.latencyTarget(), SHARE_TO_CONNECT), MINIMUM_CONNECT, MAXIMUM_CONNECT);
+		return clamp(scaled(route.latencyTarget(), CONNECT_TARGET_RATIO), MINIMUM_CONNECT_TIMEOUT,
+				MAXIMUM_CONNECT_TIMEOUT);
 	}
 
 	/**
 	 * Returns the time without an answer after which a repeatable request is retried.
 	 * @param route the request's route
-	 * @return the time
+	 * @return the timeout
 	 */
 	public Duration responseTimeout(Route route) {
-		return scaled(route.latencyTarget(), SILENCE_TARGETS);
+		return scaled(route.latencyTarget(), RESPONSE_TIMEOUT_FACTOR);
 	}
 
 	/**
-	 * Returns the pause after which a stream is resumed at another endpoint.
+	 * Returns the time without an event after which a stream is resumed at another
+	 * endpoint.
 	 * @param route the request's route
-	 * @return the time
+	 * @return the timeout
 	 */
 	public Duration streamTimeout(Route route) {
-		return scaled(route.longestPause(), SILENCE_PAUSES);
+		return scaled(route.longestPause(), STREAM_TIMEOUT_FACTOR);
 	}
 
-	private static Duration clamp(Duration duration, Duration least, Duration most) {
-		if (duration.compareTo(least) < 0) {
-			return least;
+	private static Duration clamp(Duration duration, Duration minimum, Duration maximum) {
+		if (duration.compareTo(minimum) < 0) {
+			return minimum;
 		}
-		return (duration.compareTo(most) > 0) ? most : duration;
+		return (duration.compareTo(maximum) > 0) ? maximum : duration;
 	}
 
 	private static Duration scaled(Duration duration, double factor) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/QuotaLimiter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/QuotaLimiter.java
@@ -5,21 +5,22 @@
 import org.banyancove.gateway.configuration.TokenQuota;
 
 /**
- * A gateway's view of what is left of a client account's quota, which all gateways share.
+ * A gateway's view of a client account's quota, which all gateways share.
  * <p>
- * One account sends many times its usual, unevenly over the gateways. Each gateway keeps
- * the whole bucket and takes out of it what it accepts and what the others report that
- * they accepted, a quarter of a second later. What is accepted twice in that time makes
- * the bucket negative and is paid back before anything else is accepted. A gateway that
- * is unreachable may be accepting its part, so its part of the rate is left to it.
+ * An account may send many times its usual rate, unevenly distributed over the gateways.
+ * Each gateway keeps the entire token bucket and deducts what it accepts as well as what
+ * the other gateways report to have accepted, a quarter of a second later. Usage accepted
+ * concurrently in that time overdraws the bucket, and is repaid before another request is
+ * accepted. An unreachable gateway may still accept requests, so that its share of the
+ * rate is reserved for it.
  * <p>
- * Times are nanoseconds of the steady clock.
+ * Times are nanoseconds of the monotonic clock.
  */
 public final class QuotaLimiter {
 
 	/**
-	 * The most that the bucket can be overdrawn, in seconds of its rate: more can only be
-	 * due to figures of a gateway that came late, and would lock an account out for long.
+	 * Maximum overdraft of the bucket, in seconds of its rate: a larger overdraft is only
+	 * caused by delayed reports of a gateway, and would block an account for long.
 	 */
 	private static final double MAXIMUM_OVERDRAFT_SECONDS = 4;
 
@@ -27,26 +28,27 @@
 
 	private double level;
 
-	private double share = 1;
+	private double reachableShare = 1;
 
 	private double used;
 
-	private long updatedAt;
+	private long refilledAt;
 
 	/**
-	 * Creates the meter, empty: a process that starts anew doesn't know what the others
-	 * accepted, and a fleet that starts anew together must not accept the burst twice.
+	 * Creates the limiter with an empty bucket: a restarted process does not know what
+	 * the other gateways accepted, and a fleet that restarts at once must not accept the
+	 * burst twice.
 	 * @param quota the account's quota
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	public QuotaLimiter(TokenQuota quota, long now) {
 		this.quota = quota;
-		this.updatedAt = now;
+		this.refilledAt = now;
 		this.level = 0;
 	}
 
 	/**
-	 * Returns the quota that is metered.
+	 * Returns the account's quota.
 	 * @return the quota
 	 */
 	public TokenQuota quota() {
@@ -54,49 +56,51 @@
 	}
 
 	/**
-	 * Returns a meter of a changed quota that goes on from what is left. One that began
-	 * empty would reject what the account is owed each time its limit is changed.
-	 * @param changed the quota
-	 * @param now the present time
-	 * @return the meter
+	 * Returns a limiter for a changed quota that keeps the current level and usage. With
+	 * an empty bucket, each change of its quota would reject requests that the account is
+	 * entitled to.
+	 * @param changed the changed quota
+	 * @param now the current time
+	 * @return the new limiter
 	 */
 	public QuotaLimiter changedTo(TokenQuota changed, long now) {
-		advance(now);
+		refill(now);
 		QuotaLimiter successor = new QuotaLimiter(changed, now);
 		successor.level = Math.min(this.level, changed.burst());
-		successor.share = this.share;
+		successor.reachableShare = this.reachableShare;
 		successor.used = this.used;
 		return successor;
 	}
 
 	/**
-	 * Records how much of the fleet is reachable.
-	 * @param newShare the gateways that are reachable, this one included, as a part of
-	 * all
+	 * Sets the share of the gateways that are reachable.
+	 * @param newReachableShare the number of reachable gateways, this one included,
+	 * relative to all gateways
 	 */
-	public void reachable(double newShare) {
-		this.share = Math.clamp(newShare, 0, 1);
+	public void reachable(double newReachableShare) {
+		this.reachableShare = Math.clamp(newReachableShare, 0, 1);
 	}
 
 	/**
-	 * Deducts what another gateway accepted.
-	 * @param amount what it accepted since its last report
-	 * @param now the present time
+	 * Deducts the usage that another gateway reports.
+	 * @param amount the costs that it accepted since its last report
+	 * @param now the current time
 	 */
 	public void remoteUsage(double amount, long now) {
-		advance(now);
+		refill(now);
 		this.level = Math.max(this.level - amount, -MAXIMUM_OVERDRAFT_SECONDS * this.quota.ratePerSecond());
 	}
 
 	/**
-	 * Accepts a request if there is anything left. The last one may take more than is
-	 * left, else no prompt longer than the burst would ever be accepted.
-	 * @param cost what the request counts
-	 * @param now the present time
-	 * @return whether it is accepted
+	 * Accepts a request if the bucket is not empty. A request may cost more than the
+	 * bucket holds, since a prompt longer than the burst would otherwise never be
+	 * accepted.
+	 * @param cost the request's cost
+	 * @param now the current time
+	 * @return whether the request is accepted
 	 */
 	public boolean tryAcquire(double cost, long now) {
-		advance(now);
+		refill(now);
 		if (this.level <= 0) {
 			return false;
 		}
@@ -106,34 +110,36 @@
 	}
 
 	/**
-	 * Returns how long it takes until a request can be accepted.
+	 * Returns the time until a request can be accepted.
 	 * @return the time
 	 */
 	public Duration retryAfter() {
 		double missing = Math.max(0, -this.level) + 1;
-		return Duration.ofNanos((long) (1e9 * missing / (this.quota.ratePerSecond() * Math.max(this.share, 0.05))));
+		return Duration
+			.ofNanos((long) (1e9 * missing / (this.quota.ratePerSecond() * Math.max(this.reachableShare, 0.05))));
 	}
 
 	/**
-	 * Returns what is left, as of the last change.
-	 * @return the amount, negative if more was accepted than was earned
+	 * Returns the level of the bucket as of the last update.
+	 * @return the level, negative if the bucket is overdrawn
 	 */
 	public double available() {
 		return this.level;
 	}
 
 	/**
-	 * Returns all that this gateway accepted.
+	 * Returns the total usage that this gateway accepted.
 	 * @return the sum of the costs
 	 */
 	public double used() {
 		return this.used;
 	}
 
-	private void advance(long now) {
-		double seconds = Math.max(0, (now - this.updatedAt) / 1e9);
-		this.updatedAt = now;
-		this.level = Math.min(this.quota.burst(), this.level + this.quota.ratePerSecond() * this.share * seconds);
+	private void refill(long now) {
+		double seconds = Math.max(0, (now - this.refilledAt) / 1e9);
+		this.refilledAt = now;
+		this.level = Math.min(this.quota.burst(),
+				this.level + this.quota.ratePerSecond() * this.reachableShare * seconds);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Which requests are accepted, wait or are rejected at once, and what may be retried.
+ * Admission control: whether a request is accepted, waits or is rejected, the timeouts of
+ * a request, and the quotas of client accounts.
  * <p>
- * Pure decisions; times are passed in.
+ * Decisions without input or output; callers pass in the time.
  */
 @NullMarked
 package org.banyancove.gateway.admission;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/CallerLimits.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/CallerLimits.java
@@ -3,16 +3,20 @@
 import java.time.Duration;
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits on the size and time of callers' requests.
  *
- * @param maxHeaderBytes the bytes of all headers of a request
- * @param maxBodyBytes the bytes of a body
- * @param headerTimeout from the first byte of a request to the end of its headers
- * @param idleTimeout how long a connection may stay idle between requests
+ * @param maxHeaderBytes the maximum size of all headers of a request, in bytes
+ * @param maxBodyBytes the maximum size of a body, in bytes
+ * @param headerTimeout the maximum time from the first byte of a request to the end of
+ * its headers
+ * @param idleTimeout the maximum time that a connection may be idle between requests
  */
 public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
-	/** Holds until the first configuration is read; the usual figures of web servers. */
+	/**
+	 * The limits that apply until the first configuration is read; typical of web
+	 * servers.
+	 */
 	public static final CallerLimits DEFAULT = new CallerLimits(16 * 1024, 4 * 1024 * 1024, Duration.ofSeconds(3),
 			Duration.ofSeconds(15));
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/ClientAccount.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/ClientAccount.java
@@ -6,12 +6,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A client account: who sends requests, by which keys, and how much.
+ * A client account with its keys, priority and quota.
  *
- * @param name its name
- * @param keys the keys that are valid now
- * @param priority the rank of its requests, or {@code null} for the route's
- * @param quota what it may use, or {@code null} for no limit
+ * @param name the account's name
+ * @param keys the valid keys
+ * @param priority the priority of its requests, or {@code null} for the route's
+ * @param quota the account's quota, or {@code null} for no limit
  */
 public record ClientAccount(AccountName name, List<String> keys, @Nullable Integer priority,
 		@Nullable TokenQuota quota) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Configuration.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Configuration.java
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One version of everything that operators configure.
+ * A version of the gateway configuration.
  */
 public final class Configuration {
 
@@ -32,11 +32,11 @@
 	private final CallerLimits limits;
 
 	/**
-	 * Creates a version.
-	 * @param version its number; a higher one is newer
+	 * Creates a version of the configuration.
+	 * @param version the version number; a higher number is newer
 	 * @param routes the routes
 	 * @param services the services
-	 * @param accounts the client accounts; empty if requests need no keys
+	 * @param accounts the client accounts; empty if requests require no keys
 	 * @param limits the limits for callers
 	 */
 	public Configuration(long version, List<Route> routes, List<Service> services, List<ClientAccount> accounts,
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Returns the number of this version.
-	 * @return the number
+	 * Returns the version number.
+	 * @return the version number
 	 */
 	public long version() {
 		return this.version;
@@ -82,10 +82,10 @@
 	}
 
 	/**
-	 * Returns the route with the longest prefix that begins a path.
+	 * Returns the route with the longest prefix of a path.
 	 * @param host the value of the host header
 	 * @param path the path, without its query
-	 * @return the route, or {@code null} if there is none
+	 * @return the route, or {@code null} if none matches
 	 */
 	public @Nullable Route route(String host, String path) {
 		int port = host.indexOf(':');
@@ -100,7 +100,7 @@
 
 	/**
 	 * Returns a service.
-	 * @param name its name
+	 * @param name the service's name
 	 * @return the service, or {@code null} if it is not configured
 	 */
 	public @Nullable Service service(ServiceName name) {
@@ -125,16 +125,16 @@
 
 	/**
 	 * Returns all client accounts.
-	 * @return the accounts; empty if requests need no keys
+	 * @return the accounts; empty if requests require no keys
 	 */
 	public List<ClientAccount> accounts() {
 		return this.accounts;
 	}
 
 	/**
-	 * Returns the client account that holds a key.
+	 * Returns the client account that a key belongs to.
 	 * @param key the key
-	 * @return the account, or {@code null} if no account holds the key
+	 * @return the account, or {@code null} if the key is unknown
 	 */
 	public @Nullable ClientAccount accountOf(String key) {
 		return this.accountsByKey.get(key);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/EngineMemory.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/EngineMemory.java
@@ -1,17 +1,17 @@
 package org.banyancove.gateway.configuration;
 
 /**
- * What is known of the memory of a service's model engines.
+ * The KV cache memory of a service's model engines.
  *
- * @param tokens the tokens that an engine holds
- * @param transferMillisPerToken the time in which one engine copies a token's memory from
- * another, in ms; infinite if they cannot
+ * @param tokens the capacity of an engine, in tokens
+ * @param transferMillisPerToken the time to copy a token's memory from another engine, in
+ * ms; infinite if engines cannot copy
  */
 public record EngineMemory(long tokens, double transferMillisPerToken) {
 
 	/**
 	 * Creates the description.
-	 * @throws IllegalArgumentException if a figure is negative
+	 * @throws IllegalArgumentException if a value is negative
 	 */
 	public EngineMemory {
 		if (tokens < 0) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Route.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Route.java
@@ -6,20 +6,20 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * Where requests of a host and path go, and what they are owed.
+ * A route for requests of a host and path prefix, with their services and targets.
  *
  * @param name the route's name
  * @param host the host, in lower case and without a port
  * @param pathPrefix the prefix of the path, with a slash at both ends
- * @param kind what may be repeated
- * @param resumable whether a stream can go on at another endpoint
- * @param timeout the longest time until the final answer
- * @param latencyTarget the time to the answer, or to a stream's first event
- * @param longestPause the longest pause between events of a stream that is in time
- * @param priority the rank, 0 first
+ * @param kind whether requests are idempotent or answered with a stream
+ * @param resumable whether a stream can be resumed at another endpoint
+ * @param timeout the maximum time to the final answer
+ * @param latencyTarget the target time to the answer, or to a stream's first event
+ * @param longestPause the target for the maximum time between events of a stream
+ * @param priority the priority, 0 highest
  * @param services the services that run the requests
- * @param maxAttempts how many endpoints one request may be sent to
- * @param anonymous whether requests need no key
+ * @param maxAttempts the maximum number of endpoints that a request is sent to
+ * @param anonymous whether requests require no key
  */
 public record Route(String name, String host, String pathPrefix, RouteKind kind, boolean resumable, Duration timeout,
 		Duration latencyTarget, Duration longestPause, int priority, List<WeightedService> services, int maxAttempts,
@@ -41,8 +41,8 @@
 	}
 
 	/**
-	 * Returns whether a request that may have run can be sent again.
-	 * @return whether it can be repeated
+	 * Returns whether a request that may have been executed can be retried.
+	 * @return whether a retry is permitted
 	 */
 	public boolean repeatable() {
 		return switch (this.kind) {
@@ -53,16 +53,16 @@
 	}
 
 	/**
-	 * Returns the service that takes a request.
+	 * Selects the service for a request in proportion to the weights.
 	 * @param draw a random number from 0 to 1
 	 * @return the service
 	 */
 	public ServiceName serviceFor(double draw) {
 		double total = this.services.stream().mapToDouble(WeightedService::weight).sum();
-		double left = draw * total;
+		double remaining = draw * total;
 		for (WeightedService candidate : this.services) {
-			left -= candidate.weight();
-			if (left < 0) {
+			remaining -= candidate.weight();
+			if (remaining < 0) {
 				return candidate.service();
 			}
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/RouteKind.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/RouteKind.java
@@ -1,17 +1,20 @@
 package org.banyancove.gateway.configuration;
 
 /**
- * What may be repeated of the requests on a route.
+ * The kind of a route, which determines whether its requests may be retried.
  */
 public enum RouteKind {
 
-	/** May run any number of times. */
+	/** Requests may be executed any number of times. */
 	IDEMPOTENT,
 
-	/** Runs at most once. */
+	/** Requests are executed at most once. */
 	NON_IDEMPOTENT,
 
-	/** Answers with a stream of events; runs at most once unless it can be resumed. */
+	/**
+	 * Requests are answered with a stream of events, and executed at most once unless the
+	 * stream can be resumed.
+	 */
 	STREAMING
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/ScalingLimits.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/ScalingLimits.java
@@ -6,13 +6,15 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * How many endpoints of a service may be ordered, and at what price.
+ * Limits and prices for ordering endpoints of a service.
  *
- * @param fewest the fewest in a data centre
- * @param most the most in a data centre, of both kinds together
- * @param startTime from an order to the first request served
- * @param reclaimablePrice the price of a reclaimable endpoint as a part of the others'
- * @param zonePrices the price of a second of an endpoint, by data centre
+ * @param fewest the minimum number of endpoints in a data centre
+ * @param most the maximum number of endpoints in a data centre, reclaimable and on-demand
+ * ones together
+ * @param startTime the time from an order to the first request served
+ * @param reclaimablePrice the price of a reclaimable endpoint relative to an on-demand
+ * one
+ * @param zonePrices the price of an endpoint per second, by data centre
  */
 public record ScalingLimits(int fewest, int most, Duration startTime, double reclaimablePrice,
 		Map<DataCenterName, Double> zonePrices) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Service.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Service.java
@@ -6,10 +6,12 @@
 /**
  * A service whose endpoints run requests.
  *
- * @param name its name
- * @param maxConnections the connections that one endpoint accepts from all gateways
+ * @param name the service's name
+ * @param maxConnections the maximum number of connections that an endpoint accepts from
+ * all gateways together
  * @param memory the memory of its engines, or {@code null} for a plain service
- * @param scaling what may be ordered, or {@code null} for a fixed service
+ * @param scaling the limits for ordering endpoints, or {@code null} if the service does
+ * not scale
  */
 public record Service(ServiceName name, int maxConnections, @Nullable EngineMemory memory,
 		@Nullable ScalingLimits scaling) {
@@ -25,8 +27,8 @@
 	}
 
 	/**
-	 * Returns whether its endpoints are model engines.
-	 * @return whether they are
+	 * Returns whether the service's endpoints are model engines.
+	 * @return {@code true} for model engines, {@code false} for a plain service
 	 */
 	public boolean generatesTokens() {
 		return this.memory != null;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/TokenQuota.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/TokenQuota.java
@@ -1,12 +1,12 @@
 package org.banyancove.gateway.configuration;
 
 /**
- * What a client account may use, over all gateways together.
+ * The quota of a client account over all gateways together, as a token bucket.
  *
- * @param countsTokens whether the figures count tokens; requests otherwise
- * @param ratePerSecond what is earned a second
- * @param burst the most that is saved up
- * @param tokensWithoutUsage what a request counts that does not state its tokens
+ * @param countsTokens whether the quota counts tokens; otherwise it counts requests
+ * @param ratePerSecond the refill rate per second
+ * @param burst the capacity of the bucket
+ * @param tokensWithoutUsage the cost of a request that does not state its tokens
  */
 public record TokenQuota(boolean countsTokens, double ratePerSecond, double burst, long tokensWithoutUsage) {
 
@@ -21,8 +21,8 @@
 	}
 
 	/**
-	 * Returns what a request counts.
-	 * @param tokens its tokens in and out, or 0 if it states none
+	 * Returns the cost of a request.
+	 * @param tokens its prompt and output tokens, or 0 if it states none
 	 * @return the cost, in this quota's unit
 	 */
 	public double costOf(long tokens) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/WeightedService.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/WeightedService.java
@@ -3,15 +3,16 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * A service that takes a part of a route's requests.
+ * A service of a route, with its weight.
  *
  * @param service the service
- * @param weight its part, relative to the route's other services
+ * @param weight the service's share of the route's requests, relative to the other
+ * services
  */
 public record WeightedService(ServiceName service, double weight) {
 
 	/**
-	 * Creates the pair.
+	 * Creates the weighted service.
 	 * @throws IllegalArgumentException if {@code weight} is negative
 	 */
 	public WeightedService {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What operators have configured: routes, services, client accounts and limits.
+ * The configuration by operators: routes, services, client accounts and limits.
  * <p>
- * Immutable values without input or output; a new version replaces the whole.
+ * Immutable values without input or output; a new version replaces the entire
+ * configuration.
  */
 @NullMarked
 package org.banyancove.gateway.configuration;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Endpoint.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Endpoint.java
@@ -8,60 +8,64 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One endpoint and what this gateway has seen of it.
+ * An endpoint, with the load, latency and failures that this gateway observed on it.
  * <p>
- * Times are nanoseconds of the steady clock. Belongs to the event loop's thread.
+ * Times are nanoseconds of the monotonic clock. Confined to the event loop thread.
  */
 public final class Endpoint {
 
-	/** Weight of the newest sample in running means: about the last ten samples count. */
-	private static final double NEWEST = 0.1;
+	/**
+	 * Weight of a new sample in an exponential moving average, which covers about the
+	 * last ten samples.
+	 */
+	private static final double SAMPLE_WEIGHT = 0.1;
 
 	/**
-	 * Weight of a newest outcome: three failures in a row raise the rate above a half.
+	 * Weight of a new outcome: three consecutive failures raise the failure rate above
+	 * one half.
 	 */
-	private static final double NEWEST_OUTCOME = 0.25;
+	private static final double OUTCOME_WEIGHT = 0.25;
 
 	/**
-	 * How fast past outcomes lose weight, in ns: most troubles are over after some
-	 * seconds. Without it, one that is avoided for its failures would never show that it
-	 * is well again, and the others would carry its load for good.
+	 * Time constant of the failure rate's decay, in ns: most failures last a few seconds.
+	 * Without decay, an endpoint that is avoided for its failures would receive no
+	 * request that shows its recovery, and the others would carry its load permanently.
 	 */
-	private static final double OUTCOME_LIFE_NANOS = 3e9;
+	private static final double OUTCOME_DECAY_NANOS = 3e9;
 
-	/** Least and most that a sample may claim of an engine's slowdown. */
+	/** Bounds of a single slowdown sample. */
 	private static final double MINIMUM_SLOWDOWN = 0.2;
 
 	private static final double MAXIMUM_SLOWDOWN = 20;
 
 	/**
-	 * How fast a learned slowdown fades, in ns. An engine that is avoided, or whose
-	 * requests are all rejected, gets none that would show that it is fast again.
+	 * Time constant of the slowdown's decay, in ns. An engine that is avoided, or whose
+	 * requests are all rejected, receives no request that shows its recovery.
 	 */
-	private static final double SLOWDOWN_LIFE_NANOS = 5e9;
+	private static final double SLOWDOWN_DECAY_NANOS = 5e9;
 
-	/** First guess of the time of a plain request, in ms; corrected by answers. */
-	private static final double FIRST_PLAIN_MILLIS = 30;
+	/** Initial estimate of a plain service's response time, in ms. */
+	private static final double INITIAL_RESPONSE_MILLIS = 30;
 
 	/**
-	 * How much each running request delays a first token, in ms: a step of a full batch
-	 * takes some 10 ms longer than of an empty one, and a prompt shares a few steps.
+	 * Delay of a first token for each running request, in ms: a step of a full batch
+	 * takes about 10 ms longer than a step of an empty one, and a prompt's prefill spans
+	 * a few steps.
 	 */
-	private static final double MILLIS_PER_RUNNING = 0.4;
+	private static final double MILLIS_PER_RUNNING_REQUEST = 0.4;
 
 	/**
-	 * How fast a report of others' requests loses weight, in ns: requests last about so
-	 * long.
+	 * Time constant of a load report's decay, in ns: about the duration of a request.
 	 */
-	private static final double REPORT_LIFE_NANOS = 2e9;
+	private static final double REPORT_DECAY_NANOS = 2e9;
 
 	/**
-	 * First pause after failures without an answer; doubles, so that a dead one costs
-	 * little.
+	 * Backoff after the second consecutive failure without an answer. Each further one
+	 * doubles it, so that a dead endpoint costs few requests.
 	 */
-	private static final Duration FIRST_PAUSE = Duration.ofMillis(500);
+	private static final Duration INITIAL_BACKOFF = Duration.ofMillis(500);
 
-	private static final Duration MAXIMUM_PAUSE = Duration.ofSeconds(4);
+	private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(4);
 
 	private EndpointEntry entry;
 
@@ -73,43 +77,44 @@
 
 	private long pendingPrefillTokens;
 
-	private int othersInFlight;
+	private int remoteInFlight;
 
-	private long othersPendingPrefillTokens;
+	private long remotePendingPrefillTokens;
 
-	private double unknownAtReport;
+	private double unattributedAtReport;
 
-	private double waitingAtReport;
+	private double queuedAtReport;
 
 	private long reportedAt = Long.MIN_VALUE;
 
-	private final PrefillLatency prefill;
+	private final PrefillLatency prefillLatency;
 
 	private double slowdown = 1;
 
 	private long slowdownAt;
 
-	private double plainMillis = FIRST_PLAIN_MILLIS;
+	private double responseMillis = INITIAL_RESPONSE_MILLIS;
 
 	private double failureRate;
 
 	private long outcomeAt;
 
-	private int failuresInRow;
+	private int consecutiveFailures;
 
-	private long pausedUntil = Long.MIN_VALUE;
+	private long backoffUntil = Long.MIN_VALUE;
 
 	private final RateLimitAllotment allotment;
 
 	private EndpointRateLimiter rateLimiter;
 
-	private @Nullable Long goneAt;
+	private @Nullable Long unlistedAt;
 
-	Endpoint(EndpointEntry entry, @Nullable EngineMemory memory, PrefillLatency prefill, RateLimitAllotment allotment) {
+	Endpoint(EndpointEntry entry, @Nullable EngineMemory memory, PrefillLatency prefillLatency,
+			RateLimitAllotment allotment) {
 		this.entry = entry;
 		this.allotment = allotment;
 		this.rateLimiter = new EndpointRateLimiter(entry.id(), allotment);
-		this.prefill = prefill;
+		this.prefillLatency = prefillLatency;
 		this.memory = memory;
 		this.cache = emptyCache();
 	}
@@ -127,7 +132,7 @@
 	}
 
 	/**
-	 * Returns what the endpoint last reported of itself.
+	 * Returns the endpoint's latest entry in the list of endpoints.
 	 * @return the entry
 	 */
 	public EndpointEntry entry() {
@@ -135,50 +140,51 @@
 	}
 
 	/**
-	 * Returns the requests of this gateway that it has now.
-	 * @return the number
+	 * Returns the number of this gateway's requests in flight at the endpoint.
+	 * @return the number of requests
 	 */
 	public int inFlight() {
 		return this.inFlight;
 	}
 
 	/**
-	 * Records what the configuration says of the endpoint's service.
-	 * @param described its engines' memory, or {@code null} for a plain service
+	 * Sets the engine memory configured for the endpoint's service. A change clears the
+	 * estimate of the cached prompts.
+	 * @param newMemory the engines' memory, or {@code null} for a plain service
 	 */
-	void describe(@Nullable EngineMemory described) {
-		if (!Objects.equals(described, this.memory)) {
-			this.memory = described;
+	void setMemory(@Nullable EngineMemory newMemory) {
+		if (!Objects.equals(newMemory, this.memory)) {
+			this.memory = newMemory;
 			this.cache = emptyCache();
 		}
 	}
 
 	void update(EndpointEntry newer) {
-		if (!newer.sameStart(this.entry)) {
+		if (!newer.sameIncarnation(this.entry)) {
 			this.cache = emptyCache();
-			this.failuresInRow = 0;
+			this.consecutiveFailures = 0;
 			this.failureRate = 0;
-			this.pausedUntil = Long.MIN_VALUE;
+			this.backoffUntil = Long.MIN_VALUE;
 			this.rateLimiter = new EndpointRateLimiter(newer.id(), this.allotment);
 		}
 		this.entry = newer;
-		this.goneAt = null;
+		this.unlistedAt = null;
 	}
 
-	void lapsed(long now) {
-		if (this.goneAt == null) {
-			this.goneAt = now;
+	void markUnlisted(long now) {
+		if (this.unlistedAt == null) {
+			this.unlistedAt = now;
 		}
 	}
 
-	@Nullable Long lapsedAt() {
-		return this.goneAt;
+	@Nullable Long unlistedAt() {
+		return this.unlistedAt;
 	}
 
 	/**
 	 * Records that a request was sent.
-	 * @param prompt its prompt
-	 * @param prefillTokens the tokens of it that have to be prefilled
+	 * @param prompt the request's prompt
+	 * @param prefillTokens the prompt tokens to prefill
 	 */
 	public void sent(Prompt prompt, int prefillTokens) {
 		this.inFlight++;
@@ -187,73 +193,75 @@
 	}
 
 	/**
-	 * Records that a request's prompt has been read, or will not be.
-	 * @param prefillTokens the tokens of it that had to be prefilled
+	 * Records that a request's prefill completed or was abandoned.
+	 * @param prefillTokens the prompt tokens that were to be prefilled
 	 */
 	public void promptRead(int prefillTokens) {
 		this.pendingPrefillTokens = Math.max(0, this.pendingPrefillTokens - prefillTokens);
 	}
 
 	/**
-	 * Records that a request has left the endpoint, however it ended.
+	 * Records that a request is no longer in flight, whatever its outcome.
 	 */
 	public void left() {
 		this.inFlight--;
 	}
 
 	/**
-	 * Records an answer, which shows that the endpoint lives.
-	 * @param sound whether it was a success
-	 * @param now the present time
+	 * Records an answer, which shows that the endpoint is alive and ends its backoff.
+	 * @param successful whether the answer is a success
+	 * @param now the current time
 	 */
-	public void answered(boolean sound, long now) {
-		this.failuresInRow = 0;
-		this.pausedUntil = Long.MIN_VALUE;
-		learnOutcome(sound ? 0 : 1, now);
+	public void answered(boolean successful, long now) {
+		this.consecutiveFailures = 0;
+		this.backoffUntil = Long.MIN_VALUE;
+		recordOutcome(successful ? 0 : 1, now);
 	}
 
-	private void learnOutcome(double failure, long now) {
-		double before = failureRate(now);
-		this.failureRate = before + NEWEST_OUTCOME * (failure - before);
+	private void recordOutcome(double failure, long now) {
+		double previous = failureRate(now);
+		this.failureRate = previous + OUTCOME_WEIGHT * (failure - previous);
 		this.outcomeAt = now;
 	}
 
 	/**
-	 * Records that no answer came: rejected, reset, silent or unreadable.
-	 * @param now the present time
+	 * Records a request without a valid answer: rejected, reset, timed out or malformed.
+	 * @param now the current time
 	 */
 	public void failed(long now) {
-		learnOutcome(1, now);
-		this.failuresInRow++;
-		if (this.failuresInRow > 1) {
-			int doublings = Math.min(this.failuresInRow - 2, 10);
-			long pause = Math.min(FIRST_PAUSE.toNanos() << doublings, MAXIMUM_PAUSE.toNanos());
-			this.pausedUntil = now + pause;
+		recordOutcome(1, now);
+		this.consecutiveFailures++;
+		if (this.consecutiveFailures > 1) {
+			int doublings = Math.min(this.consecutiveFailures - 2, 10);
+			long backoff = Math.min(INITIAL_BACKOFF.toNanos() << doublings, MAXIMUM_BACKOFF.toNanos());
+			this.backoffUntil = now + backoff;
 		}
 	}
 
 	/**
-	 * Records that nothing listens at the address, or that another endpoint does.
-	 * @param now the present time
+	 * Records that no process, or another endpoint, listens at the address. Starts the
+	 * backoff at the first failure.
+	 * @param now the current time
 	 */
 	public void unreachable(long now) {
-		this.failuresInRow = Math.max(this.failuresInRow, 1);
+		this.consecutiveFailures = Math.max(this.consecutiveFailures, 1);
 		failed(now);
 	}
 
 	/**
-	 * Records a report of the endpoint's load.
+	 * Records a load report of the endpoint.
 	 * @param report the report
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	public void reported(LoadReport report, long now) {
-		this.unknownAtReport = Math.max(0, report.running() + report.waiting() - this.inFlight - this.othersInFlight);
-		this.waitingAtReport = report.waiting();
+		this.unattributedAtReport = Math.max(0,
+				report.running() + report.waiting() - this.inFlight - this.remoteInFlight);
+		this.queuedAtReport = report.waiting();
 		this.reportedAt = now;
 	}
 
 	/**
-	 * Returns what keeps the rate limit that the endpoint names.
+	 * Returns the limiter that enforces the rate limit declared by the endpoint.
 	 * @return the limiter
 	 */
 	public EndpointRateLimiter rateLimiter() {
@@ -261,98 +269,99 @@
 	}
 
 	/**
-	 * Learns from the time to a first token.
-	 * @param elapsed from sending to the token
-	 * @param tokens the tokens that were to be prefilled before it
-	 * @param now the present time
+	 * Updates the latency estimates with a measured time to first token.
+	 * @param elapsed the time from sending the request to its first token
+	 * @param tokens the tokens to prefill before the first token, queued ones included
+	 * @param now the current time
 	 */
 	public void firstToken(Duration elapsed, long tokens, long now) {
-		double sample = Math.clamp(millis(elapsed) / this.prefill.millis(tokens), MINIMUM_SLOWDOWN, MAXIMUM_SLOWDOWN);
-		double before = slowdown(now);
-		this.slowdown = before + NEWEST * (sample - before);
+		double sample = Math.clamp(millis(elapsed) / this.prefillLatency.millis(tokens), MINIMUM_SLOWDOWN,
+				MAXIMUM_SLOWDOWN);
+		double previous = slowdown(now);
+		this.slowdown = previous + SAMPLE_WEIGHT * (sample - previous);
 		this.slowdownAt = now;
-		this.prefill.learn(millis(elapsed), tokens);
+		this.prefillLatency.addSample(millis(elapsed), tokens);
 	}
 
 	/**
-	 * Returns the time to a first token on an idle engine of this service.
-	 * @param tokens the tokens to prefill before it
+	 * Returns the estimated time to first token on an idle engine of this service.
+	 * @param tokens the tokens to prefill before the first token
 	 * @return the time in ms
 	 */
 	public double idleFirstTokenMillis(long tokens) {
-		return this.prefill.millis(tokens);
+		return this.prefillLatency.millis(tokens);
 	}
 
 	private double slowdown(long now) {
-		return 1 + (this.slowdown - 1) * Math.exp((double) (this.slowdownAt - now) / SLOWDOWN_LIFE_NANOS);
+		return 1 + (this.slowdown - 1) * Math.exp((double) (this.slowdownAt - now) / SLOWDOWN_DECAY_NANOS);
 	}
 
 	/**
-	 * Learns from the time of a plain answer.
-	 * @param elapsed from sending to the answer
+	 * Updates the response time estimate with an answer of a plain service.
+	 * @param elapsed the time from sending the request to its answer
 	 */
 	public void plainAnswer(Duration elapsed) {
-		this.plainMillis += NEWEST * (millis(elapsed) - this.plainMillis);
+		this.responseMillis += SAMPLE_WEIGHT * (millis(elapsed) - this.responseMillis);
 	}
 
 	/**
-	 * Returns the tokens that wait to be read, of this gateway's requests.
-	 * @return the tokens
+	 * Returns the prompt tokens of this gateway's requests that wait for prefill.
+	 * @return the number of tokens
 	 */
 	public long waitingTokens() {
 		return this.pendingPrefillTokens;
 	}
 
 	/**
-	 * Returns the tokens that wait to be prefilled, of all gateways' requests.
-	 * @return the tokens
+	 * Returns the prompt tokens of all gateways' requests that wait for prefill.
+	 * @return the number of tokens
 	 */
 	public long queuedTokens() {
-		return this.pendingPrefillTokens + this.othersPendingPrefillTokens;
+		return this.pendingPrefillTokens + this.remotePendingPrefillTokens;
 	}
 
 	/**
-	 * Records what the other gateways have here.
-	 * @param requests their requests
-	 * @param unread the prompt tokens of theirs that are still to be read
+	 * Records the load that the other gateways place on the endpoint.
+	 * @param requests their requests in flight
+	 * @param pendingTokens their prompt tokens that wait for prefill
 	 */
-	public void others(int requests, long unread) {
-		this.othersInFlight = requests;
-		this.othersPendingPrefillTokens = unread;
+	public void others(int requests, long pendingTokens) {
+		this.remoteInFlight = requests;
+		this.remotePendingPrefillTokens = pendingTokens;
 	}
 
 	/**
-	 * Returns the engine time that a request takes, without any wait.
-	 * @param prefillTokens the tokens of it that have to be prefilled
+	 * Returns the service time of a request, without queueing.
+	 * @param prefillTokens the prompt tokens to prefill
 	 * @return the time in ms
 	 */
 	public double workMillis(int prefillTokens) {
-		return (this.memory != null) ? prefillMillis(prefillTokens) : this.plainMillis;
+		return (this.memory != null) ? prefillMillis(prefillTokens) : this.responseMillis;
 	}
 
-	boolean paused(long now) {
-		return now < this.pausedUntil;
+	boolean backedOff(long now) {
+		return now < this.backoffUntil;
 	}
 
 	double failureRate(long now) {
-		return this.failureRate * Math.exp((this.outcomeAt - now) / OUTCOME_LIFE_NANOS);
+		return this.failureRate * Math.exp((this.outcomeAt - now) / OUTCOME_DECAY_NANOS);
 	}
 
 	int uncachedTokens(Prompt prompt) {
-		return Math.max(0, prompt.tokensIn() - this.cache.heldTokens(prompt));
+		return Math.max(0, prompt.tokensIn() - this.cache.cachedTokens(prompt));
 	}
 
 	/**
-	 * Returns the shared tokens at the start of a prompt that are not held here.
+	 * Returns the tokens of a prompt's shared prefix that are not cached at the endpoint.
 	 * @param prompt the prompt
-	 * @return the tokens
+	 * @return the number of tokens
 	 */
-	int missingPrefix(Prompt prompt) {
-		return Math.max(0, prompt.sharedTokens() - this.cache.heldTokens(prompt));
+	int missingPrefixTokens(Prompt prompt) {
+		return Math.max(0, prompt.sharedTokens() - this.cache.cachedTokens(prompt));
 	}
 
 	double prefillMillis(int tokens) {
-		return this.prefill.millisPerToken() * tokens;
+		return this.prefillLatency.millisPerToken() * tokens;
 	}
 
 	double transferMillis(int tokens) {
@@ -360,29 +369,29 @@
 	}
 
 	/**
-	 * Predicts the time to an answer, or to a stream's first event, in ms.
-	 * @param prompt the prompt
-	 * @param prefillTokens the tokens of it that have to be prefilled
-	 * @param now the present time
+	 * Predicts the time to an answer, or to a stream's first event.
+	 * @param prompt the request's prompt
+	 * @param prefillTokens the prompt tokens to prefill
+	 * @param now the current time
 	 * @return the time in ms
 	 */
 	double predictedMillis(Prompt prompt, int prefillTokens, long now) {
 		double reportWeight = (this.reportedAt == Long.MIN_VALUE) ? 0
-				: Math.exp((this.reportedAt - now) / REPORT_LIFE_NANOS);
-		double running = this.inFlight + this.othersInFlight + this.unknownAtReport * reportWeight;
+				: Math.exp((this.reportedAt - now) / REPORT_DECAY_NANOS);
+		double running = this.inFlight + this.remoteInFlight + this.unattributedAtReport * reportWeight;
 		if (this.memory == null) {
-			double full = Math.max(1, (running + 1) / this.entry.slots());
-			return this.plainMillis * full;
+			double occupancy = Math.max(1, (running + 1) / this.entry.slots());
+			return this.responseMillis * occupancy;
 		}
-		double reported = this.waitingAtReport * reportWeight * meanPrompt(prompt);
-		double ahead = Math.max((double) queuedTokens(), reported);
-		double waitingForSlot = Math.max(0, running + 1 - this.entry.slots()) * meanPrompt(prompt);
-		long tokens = Math.round(ahead + waitingForSlot) + prefillTokens;
-		return slowdown(now) * this.prefill.millis(tokens) + MILLIS_PER_RUNNING * running;
+		double reportedTokens = this.queuedAtReport * reportWeight * meanPromptTokens(prompt);
+		double queuedAhead = Math.max((double) queuedTokens(), reportedTokens);
+		double waitingForSlot = Math.max(0, running + 1 - this.entry.slots()) * meanPromptTokens(prompt);
+		long tokens = Math.round(queuedAhead + waitingForSlot) + prefillTokens;
+		return slowdown(now) * this.prefillLatency.millis(tokens) + MILLIS_PER_RUNNING_REQUEST * running;
 	}
 
-	// What waits at the endpoint is taken to be like what is to be placed.
-	private static double meanPrompt(Prompt prompt) {
+	// The lengths of queued prompts are unknown; they are assumed to equal this one's.
+	private static double meanPromptTokens(Prompt prompt) {
 		return prompt.tokensIn();
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointEntry.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointEntry.java
@@ -7,17 +7,17 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * What an endpoint reports of itself in the list of endpoints.
+ * An endpoint's entry in the list of endpoints, as the endpoint reports it.
  *
- * @param id its identifier
+ * @param id the endpoint's identifier
  * @param service the service that it runs
- * @param version the version of its software; empty if it is not stated
- * @param address where it listens
+ * @param version its software version; empty if unknown
+ * @param address the address that it listens on
  * @param zone its data centre
- * @param slots the requests that it runs at once
- * @param draining whether it is leaving
- * @param reclaimable whether its VM may be taken away
- * @param startedAt when it started, in Unix milliseconds; 0 if it is not stated
+ * @param slots the number of requests that it runs concurrently
+ * @param draining whether it accepts no new requests because it is shutting down
+ * @param reclaimable whether its VM is reclaimable
+ * @param startedAt its start time, in Unix milliseconds; 0 if unknown
  */
 public record EndpointEntry(EndpointId id, ServiceName service, String version, InetSocketAddress address,
 		DataCenterName zone, int slots, boolean draining, boolean reclaimable, long startedAt) {
@@ -32,7 +32,7 @@
 		}
 	}
 
-	boolean sameStart(EndpointEntry other) {
+	boolean sameIncarnation(EndpointEntry other) {
 		return this.startedAt == other.startedAt && this.version.equals(other.version)
 				&& this.address.equals(other.address) && this.service.equals(other.service);
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointRateLimiter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointRateLimiter.java
@@ -7,27 +7,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps this gateway's share of the rate limit that an endpoint names: a token bucket
- * that starts empty, since the endpoint has had requests until then.
+ * Limits this gateway's requests to an endpoint to its share of the rate limit that the
+ * endpoint declares.
  * <p>
- * Times are nanoseconds of the steady clock.
+ * A token bucket that starts empty, since the endpoint received requests until the limit
+ * was declared. Times are nanoseconds of the monotonic clock.
  */
 public final class EndpointRateLimiter {
 
 	/**
-	 * Requests a second that are sent at least: without any answer nobody would see that
-	 * the limit has ended.
+	 * Minimum rate in requests per second: without any answer, no gateway would observe
+	 * the end of the limit.
 	 */
 	private static final double MINIMUM_RATE = 0.25;
 
-	/** Seconds of the share that may be sent at once. */
+	/** Capacity of the bucket, in seconds of the share. */
 	private static final double BURST_SECONDS = 0.5;
 
-	/** Time without an answer after which other gateways get the share. */
+	/** Time without an answer after which the share moves to other gateways. */
 	private static final Duration ROTATION_INTERVAL = Duration.ofSeconds(10);
 
-	/** How long the end of a limit is reported to the other gateways. */
-	private static final Duration REPORTED_END = Duration.ofSeconds(10);
+	/** Time for which the end of a limit is reported to the other gateways. */
+	private static final Duration END_REPORT_DURATION = Duration.ofSeconds(10);
 
 	private final EndpointId endpoint;
 
@@ -51,13 +52,13 @@
 	}
 
 	/**
-	 * Records the limit that an answer named, to this or to another gateway. One that is
-	 * older than the newest is passed over.
-	 * @param requestsPerSecond the requests a second that the endpoint accepts from all
-	 * gateways together, or {@code null} if it names no limit
+	 * Records the limit declared by an answer to this or another gateway. An observation
+	 * older than the latest one is ignored.
+	 * @param requestsPerSecond the requests per second that the endpoint accepts from all
+	 * gateways together, or {@code null} if it declares no limit
 	 * @param at when the answer was received
-	 * @param now the present time
-	 * @return whether the limit has changed
+	 * @param now the current time
+	 * @return whether the limit changed
 	 */
 	public boolean observe(@Nullable Double requestsPerSecond, long at, long now) {
 		if (this.observedAt != null && at < this.observedAt) {
@@ -78,13 +79,13 @@
 	}
 
 	/**
-	 * Returns what the other gateways are to know.
-	 * @param now the present time
-	 * @return the newest observation, or {@code null} if the endpoint names no limit and
-	 * has named none for a while
+	 * Returns the observation to report to the other gateways.
+	 * @param now the current time
+	 * @return the latest observation, or {@code null} if the endpoint declares no limit
+	 * and none ended recently
 	 */
 	public @Nullable ObservedRateLimit observed(long now) {
-		boolean recentlyEnded = this.endedAt != null && now - this.endedAt < REPORTED_END.toNanos();
+		boolean recentlyEnded = this.endedAt != null && now - this.endedAt < END_REPORT_DURATION.toNanos();
 		if (this.observedAt == null || (this.limit == null && !recentlyEnded)) {
 			return null;
 		}
@@ -92,9 +93,9 @@
 	}
 
 	/**
-	 * Returns whether a request may be sent.
-	 * @param now the present time
-	 * @return whether the limit leaves room for it
+	 * Returns whether the limit permits a request now.
+	 * @param now the current time
+	 * @return whether a request may be sent
 	 */
 	boolean permits(long now) {
 		refill(now);
@@ -103,7 +104,7 @@
 
 	/**
 	 * Records that a request was sent.
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	public void sent(long now) {
 		refill(now);
@@ -111,19 +112,19 @@
 	}
 
 	/**
-	 * Returns when a request may be sent.
-	 * @param now the present time
-	 * @return the time until then, zero if it may be sent now
+	 * Returns the time until the limit permits a request.
+	 * @param now the current time
+	 * @return the time, zero if a request may be sent now
 	 */
 	Duration retryAfter(long now) {
 		if (this.limit == null || permits(now)) {
 			return Duration.ZERO;
 		}
-		double seconds = (this.share > 0) ? (1 - this.tokens) / this.share : 1 / effective(this.limit);
+		double seconds = (this.share > 0) ? (1 - this.tokens) / this.share : 1 / effectiveRate(this.limit);
 		return Duration.ofNanos((long) (seconds * 1e9));
 	}
 
-	private static double effective(double requestsPerSecond) {
+	private static double effectiveRate(double requestsPerSecond) {
 		return Math.max(MINIMUM_RATE, requestsPerSecond);
 	}
 
@@ -132,14 +133,14 @@
 			return;
 		}
 		long rotation = Math.max(0, now - this.observedAt) / ROTATION_INTERVAL.toNanos();
-		double newShare = this.allotment.share(this.endpoint, effective(this.limit), rotation);
+		double newShare = this.allotment.share(this.endpoint, effectiveRate(this.limit), rotation);
 		if (this.share == 0 || newShare == 0) {
 			this.tokens = 0;
 			this.refilledAt = now;
 		}
 		this.share = newShare;
-		double most = Math.max(1, newShare * BURST_SECONDS);
-		this.tokens = Math.min(most, this.tokens + newShare * (now - this.refilledAt) / 1e9);
+		double capacity = Math.max(1, newShare * BURST_SECONDS);
+		this.tokens = Math.min(capacity, this.tokens + newShare * (now - this.refilledAt) / 1e9);
 		this.refilledAt = now;
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
@@ -15,26 +15,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The endpoints that are known.
+ * The endpoints that the platform's store lists, indexed by identifier and service.
  */
 public final class EndpointTable {
 
 	/**
-	 * How long an endpoint is kept whose entry lapsed while the platform's store was
-	 * away: live ones are listed again within two seconds of its return, and one that has
-	 * left must get nothing two seconds after the store said so, up to one of which
-	 * passes until that is read.
+	 * Time for which an endpoint is kept whose entry expired during an outage of the
+	 * platform's store. Live endpoints are listed again within two seconds of the store's
+	 * recovery. An endpoint that was removed must receive no request two seconds after
+	 * the store recorded the removal, and reading that takes up to one second.
 	 */
-	private static final Duration LAPSE_GRACE = Duration.ofMillis(900);
+	private static final Duration UNLISTED_GRACE_PERIOD = Duration.ofMillis(900);
 
-	/** After the store's return, how long a lapse may be due to its absence. */
-	private static final Duration DOUBT = Duration.ofSeconds(2);
+	/**
+	 * Time after the store's recovery during which an entry may be unlisted because of
+	 * the outage.
+	 */
+	private static final Duration POST_OUTAGE_PERIOD = Duration.ofSeconds(2);
 
 	private final Map<EndpointId, Endpoint> endpoints = new LinkedHashMap<>();
 
 	private final Map<ServiceName, List<Endpoint>> byService = new HashMap<>();
 
-	private final Map<ServiceName, PrefillLatency> prefills = new HashMap<>();
+	private final Map<ServiceName, PrefillLatency> prefillLatencies = new HashMap<>();
 
 	private final RateLimitAllotment rateLimitAllotment;
 
@@ -42,46 +45,46 @@
 
 	/**
 	 * Creates the table.
-	 * @param rateLimitAllotment allots the rate limits of endpoints
+	 * @param rateLimitAllotment allocates the rate limits of endpoints to the gateways
 	 */
 	public EndpointTable(RateLimitAllotment rateLimitAllotment) {
 		this.rateLimitAllotment = rateLimitAllotment;
 	}
 
 	/**
-	 * Records a new configuration, which says what the services are. Endpoints may have
-	 * been listed before it was read.
-	 * @param newest the configuration
+	 * Applies a new configuration, also to the endpoints that were listed before it was
+	 * read.
+	 * @param newConfiguration the configuration
 	 */
-	public void configure(Configuration newest) {
-		this.configuration = newest;
+	public void configure(Configuration newConfiguration) {
+		this.configuration = newConfiguration;
 		this.byService.clear();
-		this.endpoints.values().forEach(this::describe);
+		this.endpoints.values().forEach(this::applyConfiguration);
 	}
 
-	private void describe(Endpoint endpoint) {
+	private void applyConfiguration(Endpoint endpoint) {
 		Service service = (this.configuration != null) ? this.configuration.service(endpoint.entry().service()) : null;
 		if (service != null) {
-			endpoint.describe(service.memory());
+			endpoint.setMemory(service.memory());
 		}
 	}
 
 	/**
-	 * Records what an endpoint reports of itself.
-	 * @param entry the entry
+	 * Adds or updates an endpoint.
+	 * @param entry the endpoint's entry
 	 */
 	public void put(EndpointEntry entry) {
-		Endpoint known = this.endpoints.get(entry.id());
-		boolean changed = known == null || !known.entry().equals(entry);
-		if (known != null && known.entry().service().equals(entry.service())) {
-			known.update(entry);
+		Endpoint existing = this.endpoints.get(entry.id());
+		boolean changed = existing == null || !existing.entry().equals(entry);
+		if (existing != null && existing.entry().service().equals(entry.service())) {
+			existing.update(entry);
 		}
 		else {
-			Endpoint listed = new Endpoint(entry, null,
-					this.prefills.computeIfAbsent(entry.service(), (service) -> new PrefillLatency()),
+			Endpoint added = new Endpoint(entry, null,
+					this.prefillLatencies.computeIfAbsent(entry.service(), (service) -> new PrefillLatency()),
 					this.rateLimitAllotment);
-			describe(listed);
-			this.endpoints.put(entry.id(), listed);
+			applyConfiguration(added);
+			this.endpoints.put(entry.id(), added);
 		}
 		if (changed) {
 			this.byService.clear();
@@ -89,8 +92,8 @@
 	}
 
 	/**
-	 * Removes an endpoint that is no longer listed.
-	 * @param id its identifier
+	 * Removes an endpoint, if it is present.
+	 * @param id the endpoint's identifier
 	 */
 	public void remove(EndpointId id) {
 		if (this.endpoints.remove(id) != null) {
@@ -99,19 +102,20 @@
 	}
 
 	/**
-	 * Records that an endpoint is no longer listed. It is taken out at once, or, right
-	 * after an outage of the store, if it does not come back.
-	 * @param id its identifier
-	 * @param sinceOutage since the store last failed, or {@code null} if it never did
-	 * @param now the present time
+	 * Records that an endpoint is no longer listed. It is removed immediately or, shortly
+	 * after an outage of the store, unless it is listed again within the grace period.
+	 * @param id the endpoint's identifier
+	 * @param sinceOutage the time since the store last failed, or {@code null} if it
+	 * never failed
+	 * @param now the current time
 	 */
 	public void unlisted(EndpointId id, @Nullable Duration sinceOutage, long now) {
 		Endpoint endpoint = this.endpoints.get(id);
 		if (endpoint == null) {
 			return;
 		}
-		if (sinceOutage != null && sinceOutage.compareTo(DOUBT) < 0 && !endpoint.entry().draining()) {
-			endpoint.lapsed(now);
+		if (sinceOutage != null && sinceOutage.compareTo(POST_OUTAGE_PERIOD) < 0 && !endpoint.entry().draining()) {
+			endpoint.markUnlisted(now);
 		}
 		else {
 			remove(id);
@@ -119,15 +123,15 @@
 	}
 
 	/**
-	 * Removes the endpoints that lapsed and did not come back.
-	 * @param now the present time
-	 * @return those taken out
+	 * Removes the unlisted endpoints whose grace period has passed.
+	 * @param now the current time
+	 * @return the identifiers of the removed endpoints
 	 */
 	public List<EndpointId> expire(long now) {
 		List<EndpointId> expired = new ArrayList<>();
 		for (Endpoint endpoint : this.endpoints.values()) {
-			Long lapsedAt = endpoint.lapsedAt();
-			if (lapsedAt != null && now - lapsedAt > LAPSE_GRACE.toNanos()) {
+			Long unlistedAt = endpoint.unlistedAt();
+			if (unlistedAt != null && now - unlistedAt > UNLISTED_GRACE_PERIOD.toNanos()) {
 				expired.add(endpoint.id());
 			}
 		}
@@ -138,13 +142,13 @@
 	/**
 	 * Returns the endpoints of a service.
 	 * @param service the service
-	 * @return its endpoints, those that are leaving included
+	 * @return its endpoints, draining ones included
 	 */
 	public List<Endpoint> listed(ServiceName service) {
-		return this.byService.computeIfAbsent(service, this::find);
+		return this.byService.computeIfAbsent(service, this::findByService);
 	}
 
-	private List<Endpoint> find(ServiceName service) {
+	private List<Endpoint> findByService(ServiceName service) {
 		return this.endpoints.values()
 			.stream()
 			.filter((endpoint) -> endpoint.entry().service().equals(service))
@@ -161,8 +165,8 @@
 
 	/**
 	 * Returns an endpoint.
-	 * @param id its identifier
-	 * @return the endpoint, or {@code null} if it is not known
+	 * @param id the endpoint's identifier
+	 * @return the endpoint, or {@code null} if it is not listed
 	 */
 	public @Nullable Endpoint get(EndpointId id) {
 		return this.endpoints.get(id);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/LoadReport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/LoadReport.java
@@ -1,17 +1,17 @@
 package org.banyancove.gateway.endpoint;
 
 /**
- * What an endpoint reports of its load beside an answer.
+ * The load that an endpoint reports with an answer.
  *
- * @param running the requests that it runs
- * @param waiting the requests in its queue
- * @param slots the requests that it can run at once
+ * @param running the number of running requests
+ * @param waiting the number of queued requests
+ * @param slots the number of requests that the endpoint can run concurrently
  */
 public record LoadReport(int running, int waiting, int slots) {
 
 	/**
 	 * Creates the report.
-	 * @throws IllegalArgumentException if a figure is negative
+	 * @throws IllegalArgumentException if a value is negative
 	 */
 	public LoadReport {
 		if (running < 0 || waiting < 0 || slots < 0) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/ObservedRateLimit.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/ObservedRateLimit.java
@@ -5,17 +5,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The rate limit that an endpoint named in an answer some time ago.
+ * The rate limit that an endpoint declared in an answer.
  *
- * @param requestsPerSecond the requests a second that it accepts from all gateways
- * together, or {@code null} if it named no limit any more
- * @param age since the answer
+ * @param requestsPerSecond the requests per second that the endpoint accepts from all
+ * gateways together, or {@code null} if it no longer declares a limit
+ * @param age the time since the answer
  */
 public record ObservedRateLimit(@Nullable Double requestsPerSecond, Duration age) {
 
 	/**
 	 * Creates the observation.
-	 * @throws IllegalArgumentException if a figure is negative
+	 * @throws IllegalArgumentException if a value is negative
 	 */
 	public ObservedRateLimit {
 		if (requestsPerSecond != null && !(requestsPerSecond >= 0)) {
@@ -27,9 +27,9 @@
 	}
 
 	/**
-	 * Returns the same observation after some time.
-	 * @param elapsed the time
-	 * @return the observation, older by that time
+	 * Returns this observation with its age increased.
+	 * @param elapsed the time to add to the age
+	 * @return the aged observation
 	 */
 	public ObservedRateLimit after(Duration elapsed) {
 		return new ObservedRateLimit(this.requestsPerSecond, this.age.plus(elapsed));
@@ -37,8 +37,8 @@
 
 	/**
 	 * Returns the more recent of two observations.
-	 * @param other the other one
-	 * @return the one of lower age
+	 * @param other the other observation
+	 * @return the observation with the lower age
 	 */
 	public ObservedRateLimit newerOf(ObservedRateLimit other) {
 		return (this.age.compareTo(other.age) <= 0) ? this : other;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Placement.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Placement.java
@@ -3,13 +3,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The endpoint that a request goes to.
+ * The endpoint chosen for a request.
  *
  * @param endpoint the endpoint
- * @param predictedMillis the time to its answer or first event, in ms
- * @param prefillTokens the tokens of its prompt that have to be prefilled
- * @param prefixSource the endpoint from which it is to copy the shared parts of the
- * prompt, or {@code null} if it holds or prefills them
+ * @param predictedMillis the predicted time to the answer or first event, in ms
+ * @param prefillTokens the prompt tokens to prefill
+ * @param prefixSource the endpoint to copy the prompt's shared prefix from, or
+ * {@code null} if the chosen endpoint has it cached or prefills it
  */
 public record Placement(Endpoint endpoint, double predictedMillis, int prefillTokens, @Nullable Endpoint prefixSource) {
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PlacementRule.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PlacementRule.java
@@ -10,52 +10,54 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses an endpoint: the one that is predicted to answer soonest, weighed by how often
- * it fails and by the prompt parts that it would prefill although another holds them.
+ * Chooses the endpoint with the lowest cost: the predicted latency plus penalties for
+ * failures, for prefix tokens that are not cached and for crossing data centres.
  * <p>
- * Sessions come back with a long shared prompt, to several gateways that don't report to
- * each other what they sent. All of them rank the endpoints of a session alike
- * (rendezvous hashing of the last shared part), so its parts are prefilled at the owner.
- * Where the owner is busy, or has just started, the endpoint that gets the request copies
- * the parts from the one that ranks highest of the others.
+ * The requests of a session share a long prompt prefix and arrive at several gateways,
+ * which do not exchange the prompts that they sent. All gateways rank the endpoints for a
+ * session identically, by rendezvous hashing of the last shared part, so that its prefix
+ * is prefilled at one owner. If the owner is busy or has just started, the endpoint that
+ * receives the request copies the prefix from the highest-ranked of the others.
  */
 public final class PlacementRule {
 
 	/**
-	 * What a shared token costs that is not held, beside the time until the answer, in
-	 * ms: prefilled again it delays the other requests of the batch, copied it takes
-	 * memory from other prefixes, and both are paid for.
+	 * Penalty for each shared token that is not cached, in ms, in addition to the
+	 * predicted latency. Both ways to obtain it have a cost: prefilling it again delays
+	 * the other requests of the batch, and copying it evicts other prefixes from memory.
 	 */
-	private static final double PREFIX_MISS_PENALTY = 0.05;
+	private static final double PREFIX_MISS_PENALTY_MILLIS = 0.05;
 
-	/** What starting a copy takes, in ms; shorter prefixes are prefilled sooner. */
+	/**
+	 * Time to set up a copy, in ms; for a short prefix, prefilling is faster than this.
+	 */
 	private static final double COPY_SETUP_MILLIS = 3;
 
 	/**
-	 * Share of failures above which an endpoint is not copied from: a request that waits
-	 * for an endpoint that is gone is late.
+	 * Failure rate from which on an endpoint is no prefix source: a request that waits
+	 * for a copy from a dead endpoint is late.
 	 */
-	private static final double UNRELIABLE_FAILURE_RATE = 0.3;
+	private static final double MAXIMUM_SOURCE_FAILURE_RATE = 0.3;
 
 	/**
-	 * The time that a failure costs, in ms: a client comes back or gives up after about
-	 * so long.
+	 * Penalty for a failure, in ms: about the time after which a client retries or gives
+	 * up.
 	 */
-	private static final double FAILURE_MILLIS = 1500;
+	private static final double FAILURE_PENALTY_MILLIS = 1500;
 
-	/** The time that another data centre costs, in ms: the hop there and back. */
-	private static final double CROSS_DATA_CENTER_MILLIS = 3;
+	/** Penalty for another data centre, in ms: the network round trip. */
+	private static final double CROSS_DATA_CENTER_PENALTY_MILLIS = 3;
 
 	/**
-	 * The time that an endpoint in a data centre costs whose gateways became unreachable,
-	 * in ms. The data centre may be cut off, and a request sent there would wait until
-	 * its end; as long as a failure, so that it is used where nothing else is left.
+	 * Penalty for a data centre whose gateways became unreachable, in ms. The data centre
+	 * may be partitioned, and a request sent there would wait until it times out. Equals
+	 * the penalty for a failure, so that such endpoints are used as a last resort.
 	 */
-	private static final double UNREACHABLE_DATA_CENTER_MILLIS = FAILURE_MILLIS;
+	private static final double UNREACHABLE_DATA_CENTER_PENALTY_MILLIS = FAILURE_PENALTY_MILLIS;
 
 	private final DataCenterName dataCenter;
 
-	private Set<DataCenterName> unreachable = Set.of();
+	private Set<DataCenterName> unreachableDataCenters = Set.of();
 
 	/**
 	 * Creates the rule.
@@ -66,55 +68,55 @@
 	}
 
 	/**
-	 * Records which data centres may be cut off from here.
+	 * Sets the data centres that may be unreachable from this gateway.
 	 * @param dataCenters the data centres
 	 */
 	public void unreachable(Set<DataCenterName> dataCenters) {
-		this.unreachable = Set.copyOf(dataCenters);
+		this.unreachableDataCenters = Set.copyOf(dataCenters);
 	}
 
 	/**
 	 * Chooses an endpoint for a request.
 	 * @param endpoints the service's endpoints
 	 * @param prompt the request's prompt
-	 * @param tried the endpoints that it has been sent to
-	 * @param now the present time
-	 * @return the choice, or {@code null} if there is none
+	 * @param tried the endpoints that the request has been sent to
+	 * @param now the current time
+	 * @return the placement, or {@code null} if no endpoint is available
 	 */
 	public @Nullable Placement choose(Collection<Endpoint> endpoints, Prompt prompt, Set<EndpointId> tried, long now) {
 		Endpoint owner = highestRanked(endpoints, prompt, (endpoint) -> !endpoint.entry().draining());
-		Endpoint holder = highestRanked(endpoints, prompt, (endpoint) -> copiable(endpoint, now));
-		Endpoint nextHolder = highestRanked(endpoints, prompt,
-				(endpoint) -> endpoint != holder && copiable(endpoint, now));
-		Choice best = null;
-		for (Endpoint candidate : endpoints) {
-			if (!available(candidate, tried, now) || !candidate.rateLimiter().permits(now)) {
+		Endpoint firstSource = highestRanked(endpoints, prompt, (endpoint) -> isEligibleSource(endpoint, now));
+		Endpoint secondSource = highestRanked(endpoints, prompt,
+				(endpoint) -> endpoint != firstSource && isEligibleSource(endpoint, now));
+		Candidate best = null;
+		for (Endpoint endpoint : endpoints) {
+			if (!available(endpoint, tried, now) || !endpoint.rateLimiter().permits(now)) {
 				continue;
 			}
-			Endpoint source = (candidate != holder) ? holder : nextHolder;
-			Choice choice = weigh(candidate, owner, source, prompt, now);
-			if (best == null || choice.cost() < best.cost()) {
-				best = choice;
+			Endpoint source = (endpoint != firstSource) ? firstSource : secondSource;
+			Candidate evaluated = evaluate(endpoint, owner, source, prompt, now);
+			if (best == null || evaluated.cost() < best.cost()) {
+				best = evaluated;
 			}
 		}
 		return (best != null) ? best.placement() : null;
 	}
 
 	private static boolean available(Endpoint candidate, Set<EndpointId> tried, long now) {
-		return !tried.contains(candidate.id()) && !candidate.entry().draining() && !candidate.paused(now);
+		return !tried.contains(candidate.id()) && !candidate.entry().draining() && !candidate.backedOff(now);
 	}
 
 	/**
-	 * Returns when a request may be retried that no endpoint accepts because of the rate
-	 * limits that they name.
+	 * Returns the time until an endpoint's rate limit permits a request, if all available
+	 * endpoints are rate limited.
 	 * @param endpoints the service's endpoints
-	 * @param tried the endpoints that it has been sent to
-	 * @param now the present time
-	 * @return the time until then, or {@code null} if there is an endpoint without a
-	 * limit or none at all
+	 * @param tried the endpoints that the request has been sent to
+	 * @param now the current time
+	 * @return the time, or {@code null} if an endpoint permits a request now or none is
+	 * available
 	 */
 	public @Nullable Duration rateLimitedFor(Collection<Endpoint> endpoints, Set<EndpointId> tried, long now) {
-		Duration soonest = null;
+		Duration shortest = null;
 		for (Endpoint candidate : endpoints) {
 			if (!available(candidate, tried, now)) {
 				continue;
@@ -123,49 +125,49 @@
 			if (wait.isZero()) {
 				return null;
 			}
-			soonest = (soonest == null || wait.compareTo(soonest) < 0) ? wait : soonest;
+			shortest = (shortest == null || wait.compareTo(shortest) < 0) ? wait : shortest;
 		}
-		return soonest;
+		return shortest;
 	}
 
-	private Choice weigh(Endpoint candidate, @Nullable Endpoint owner, @Nullable Endpoint source, Prompt prompt,
+	private Candidate evaluate(Endpoint candidate, @Nullable Endpoint owner, @Nullable Endpoint source, Prompt prompt,
 			long now) {
-		int missing = candidate.missingPrefix(prompt);
-		boolean copies = source != null && copyPays(candidate, missing);
-		// The other gateways send a session's requests to its owner as well, so that it
-		// holds the prefix though this one may not have sent it yet.
-		boolean held = copies || candidate == owner;
-		int prefillTokens = candidate.uncachedTokens(prompt) - (held ? missing : 0);
+		int missingTokens = candidate.missingPrefixTokens(prompt);
+		boolean copiesPrefix = source != null && isCopyFaster(candidate, missingTokens);
+		// The owner receives the session's requests from all gateways, so that it has the
+		// prefix cached even if this gateway has not sent it there.
+		boolean prefixCached = copiesPrefix || candidate == owner;
+		int prefillTokens = candidate.uncachedTokens(prompt) - (prefixCached ? missingTokens : 0);
 		double predicted = candidate.predictedMillis(prompt, prefillTokens, now);
-		if (copies && candidate != owner) {
-			predicted += candidate.transferMillis(missing) + COPY_SETUP_MILLIS;
+		if (copiesPrefix && candidate != owner) {
+			predicted += candidate.transferMillis(missingTokens) + COPY_SETUP_MILLIS;
 		}
-		double cost = predicted + FAILURE_MILLIS * candidate.failureRate(now);
+		double cost = predicted + FAILURE_PENALTY_MILLIS * candidate.failureRate(now);
 		if (candidate != owner) {
-			cost += missing * PREFIX_MISS_PENALTY;
+			cost += missingTokens * PREFIX_MISS_PENALTY_MILLIS;
 		}
 		if (!candidate.entry().zone().equals(this.dataCenter)) {
-			cost += CROSS_DATA_CENTER_MILLIS;
+			cost += CROSS_DATA_CENTER_PENALTY_MILLIS;
 		}
-		if (this.unreachable.contains(candidate.entry().zone())) {
-			cost += UNREACHABLE_DATA_CENTER_MILLIS;
+		if (this.unreachableDataCenters.contains(candidate.entry().zone())) {
+			cost += UNREACHABLE_DATA_CENTER_PENALTY_MILLIS;
 		}
-		return new Choice(new Placement(candidate, predicted, prefillTokens, copies ? source : null), cost);
+		return new Candidate(new Placement(candidate, predicted, prefillTokens, copiesPrefix ? source : null), cost);
 	}
 
-	private static boolean copyPays(Endpoint candidate, int tokens) {
+	private static boolean isCopyFaster(Endpoint candidate, int tokens) {
 		return candidate.transferMillis(tokens) + COPY_SETUP_MILLIS < candidate.prefillMillis(tokens);
 	}
 
-	private boolean copiable(Endpoint endpoint, long now) {
-		return !endpoint.paused(now) && endpoint.failureRate(now) < UNRELIABLE_FAILURE_RATE
-				&& !this.unreachable.contains(endpoint.entry().zone());
+	private boolean isEligibleSource(Endpoint endpoint, long now) {
+		return !endpoint.backedOff(now) && endpoint.failureRate(now) < MAXIMUM_SOURCE_FAILURE_RATE
+				&& !this.unreachableDataCenters.contains(endpoint.entry().zone());
 	}
 
-	// The highest of the random weights that all gateways compute alike.
+	// All gateways compute the same weights and therefore the same ranking.
 	private static @Nullable Endpoint highestRanked(Collection<Endpoint> endpoints, Prompt prompt,
 			Predicate<Endpoint> eligible) {
-		long key = prompt.sharedKey();
+		long key = prompt.lastSharedPartId();
 		if (key == 0) {
 			return null;
 		}
@@ -181,7 +183,7 @@
 		return highest;
 	}
 
-	private record Choice(Placement placement, double cost) {
+	private record Candidate(Placement placement, double cost) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PrefillLatency.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PrefillLatency.java
@@ -4,74 +4,76 @@
 import java.util.Deque;
 
 /**
- * Estimates the time to a first token on an idle engine: a fixed part, and a part for
- * each prompt token.
+ * Estimates the time to first token on an idle engine, as a fixed latency plus a latency
+ * for each prompt token.
  * <p>
- * Under a burst, prompts queue for each other and the time to a first token grows with
- * the queue. A mean of those times would take the queue for slow engines, and several
- * times as many as needed would be ordered. The estimate follows the lower quartile,
- * which found the engine nearly idle. The fixed part is estimated apart: counted as
- * prefill, it would make every short prompt look like the work of a long one.
+ * In a burst, prompts queue and the time to first token grows with the queue. A mean of
+ * those times would attribute the queueing to slow engines, and several times the engines
+ * needed would be ordered. The estimate therefore tracks the lower quartile, whose
+ * samples found the engine nearly idle. The fixed latency is estimated separately:
+ * attributed to prefill, it would make every short prompt appear as expensive as a long
+ * one.
  * <p>
- * Shared by the engines of a service, so that an engine that has just started is known.
+ * Shared by all engines of a service, so that a newly started engine has an estimate.
  */
 final class PrefillLatency {
 
-	/** The part of the samples that is taken to have found no queue. */
-	private static final double QUARTILE = 0.25;
+	/** Quantile of the samples that are assumed to include no queueing. */
+	private static final double QUANTILE = 0.25;
 
-	/** How far one sample moves the estimate in one pass, as a part of it. */
-	private static final double STEP = 0.02;
+	/** Relative change of the estimate by one sample in one pass. */
+	private static final double STEP_SIZE = 0.02;
 
 	/**
-	 * The newest samples, all of which move the estimate again at each new one. A process
-	 * that has just started gets a few samples a second, and orders for slow engines
-	 * until it knows better.
+	 * Number of latest samples, all of which are applied again with each new one. A newly
+	 * started process receives a few samples per second, and orders endpoints as for slow
+	 * engines until the estimate converges.
 	 */
-	private static final int SAMPLES = 64;
+	private static final int SAMPLE_WINDOW = 64;
 
-	/** How often all of them move the estimate at a new one. */
-	private static final int PASSES = 5;
+	/** Passes over the latest samples for each new one. */
+	private static final int PASSES_PER_SAMPLE = 5;
 
-	/** First guess of the fixed part, in ms. */
+	/** Initial estimate of the fixed latency, in ms. */
 	private static final double INITIAL_FIXED_MILLIS = 15;
 
-	/** First guess of the time to prefill a token, in ms. */
+	/** Initial estimate of the time to prefill a token, in ms. */
 	private static final double INITIAL_MILLIS_PER_TOKEN = 0.02;
 
 	private double fixedMillis = INITIAL_FIXED_MILLIS;
 
 	private double millisPerToken = INITIAL_MILLIS_PER_TOKEN;
 
-	private final Deque<Sample> samples = new ArrayDeque<>(SAMPLES);
+	private final Deque<Sample> samples = new ArrayDeque<>(SAMPLE_WINDOW);
 
 	/**
-	 * Learns from a first token. The part of the estimate that contributes more is moved
-	 * more, so that short prompts teach the fixed part and long ones the other.
-	 * @param millis the time to it, in ms
-	 * @param tokens the tokens that were prefilled before it
+	 * Updates the estimate with a sample. The component that contributes more to the time
+	 * is adjusted more, so that short prompts determine the fixed latency and long
+	 * prompts the latency per token.
+	 * @param millis the time to first token, in ms
+	 * @param tokens the tokens prefilled before the first token
 	 */
-	void learn(double millis, long tokens) {
-		if (this.samples.size() == SAMPLES) {
+	void addSample(double millis, long tokens) {
+		if (this.samples.size() == SAMPLE_WINDOW) {
 			this.samples.removeFirst();
 		}
 		this.samples.addLast(new Sample(millis, tokens));
-		for (int pass = 0; pass < PASSES; pass++) {
-			this.samples.forEach(this::move);
+		for (int pass = 0; pass < PASSES_PER_SAMPLE; pass++) {
+			this.samples.forEach(this::adjust);
 		}
 	}
 
-	private void move(Sample sample) {
+	private void adjust(Sample sample) {
 		double expected = millis(sample.tokens());
-		double step = STEP * ((sample.millis() < expected) ? QUARTILE - 1 : QUARTILE);
+		double step = STEP_SIZE * ((sample.millis() < expected) ? QUANTILE - 1 : QUANTILE);
 		double fixedShare = this.fixedMillis / expected;
 		this.fixedMillis *= Math.exp(step * fixedShare);
 		this.millisPerToken *= Math.exp(step * (1 - fixedShare));
 	}
 
 	/**
-	 * Returns the time to a first token.
-	 * @param tokens the tokens to prefill before it
+	 * Returns the estimated time to first token.
+	 * @param tokens the tokens to prefill before the first token
 	 * @return the time in ms
 	 */
 	double millis(long tokens) {
@@ -79,7 +81,7 @@
 	}
 
 	/**
-	 * Returns the time to prefill a token.
+	 * Returns the estimated time to prefill a token.
 	 * @return the time in ms
 	 */
 	double millisPerToken() {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Prompt.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Prompt.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a request states of its prompt.
+ * The parts and token counts of a request's prompt, as stated in its headers.
  *
- * @param parts its parts in order; the last one belongs to the request alone
- * @param tokensIn the tokens of the prompt
- * @param mostTokensOut the most tokens that are generated
+ * @param parts the parts in order; the last one is not shared with other requests
+ * @param tokensIn the number of prompt tokens
+ * @param mostTokensOut the maximum number of output tokens
  */
 public record Prompt(List<PromptPart> parts, int tokensIn, int mostTokensOut) {
 
-	/** The prompt of a request that states nothing of it. */
+	/** The prompt of a request whose headers do not describe one. */
 	public static final Prompt NONE = new Prompt(List.of(), 0, 0);
 
 	/**
@@ -22,24 +22,25 @@
 	}
 
 	/**
-	 * Returns the tokens in and out, by which a client account is charged.
-	 * @return the tokens, 0 if the request states none
+	 * Returns the prompt and output tokens, which count towards the client account's
+	 * quota.
+	 * @return the number of tokens, 0 if the request states none
 	 */
 	public long totalTokens() {
 		return (long) this.tokensIn + this.mostTokensOut;
 	}
 
 	/**
-	 * Returns the last part that other requests may share.
+	 * Returns the identifier of the last part that other requests may share.
 	 * @return the part's identifier, 0 if there is none
 	 */
-	long sharedKey() {
+	long lastSharedPartId() {
 		return (this.parts.size() < 2) ? 0 : this.parts.get(this.parts.size() - 2).id();
 	}
 
 	/**
 	 * Returns the tokens of the parts that other requests may share.
-	 * @return the tokens
+	 * @return the number of tokens
 	 */
 	int sharedTokens() {
 		return this.parts.stream().limit(Math.max(0, this.parts.size() - 1)).mapToInt(PromptPart::tokens).sum();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PromptCache.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PromptCache.java
@@ -4,49 +4,50 @@
 import java.util.Map;
 
 /**
- * The prompt parts that an engine is thought to hold, the least recently used first out.
+ * A model of an engine's prefix cache with least-recently-used eviction.
  * <p>
- * A guess, from what this gateway sent there; it moves load, never a promise.
+ * An estimate based only on the prompts that this gateway sent; it guides placement, and
+ * correctness must not depend on it.
  */
 final class PromptCache {
 
-	/** Of the engine's memory, the part that is not taken by running requests. */
-	private static final double SHARE_FOR_PARTS = 0.6;
+	/** Share of the engine's memory that running requests do not occupy. */
+	private static final double CACHE_SHARE = 0.6;
 
 	private final Map<Long, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
 
-	private final long mostTokens;
+	private final long maximumTokens;
 
 	private long tokens;
 
 	PromptCache(long memoryTokens) {
-		this.mostTokens = (long) (memoryTokens * SHARE_FOR_PARTS);
+		this.maximumTokens = (long) (memoryTokens * CACHE_SHARE);
 	}
 
 	/**
-	 * Returns the tokens of a prompt that need not be read again: a part counts only if
-	 * all parts before it are held.
+	 * Returns the cached prompt tokens. A part counts only if all parts before it are
+	 * cached.
 	 * @param prompt the prompt
-	 * @return the tokens
+	 * @return the number of tokens
 	 */
-	int heldTokens(Prompt prompt) {
-		int held = 0;
+	int cachedTokens(Prompt prompt) {
+		int cached = 0;
 		for (PromptPart part : prompt.parts()) {
 			if (!this.parts.containsKey(part.id())) {
-				return held;
+				return cached;
 			}
-			held += part.tokens();
+			cached += part.tokens();
 		}
-		return held;
+		return cached;
 	}
 
 	void add(Prompt prompt) {
 		for (PromptPart part : prompt.parts()) {
-			Integer before = this.parts.put(part.id(), part.tokens());
-			this.tokens += part.tokens() - ((before != null) ? before : 0);
+			Integer previous = this.parts.put(part.id(), part.tokens());
+			this.tokens += part.tokens() - ((previous != null) ? previous : 0);
 		}
 		var oldest = this.parts.entrySet().iterator();
-		while (this.tokens > this.mostTokens && oldest.hasNext()) {
+		while (this.tokens > this.maximumTokens && oldest.hasNext()) {
 			this.tokens -= oldest.next().getValue();
 			oldest.remove();
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PromptPart.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PromptPart.java
@@ -3,8 +3,8 @@
 /**
  * A part of a prompt that several requests may share.
  *
- * @param id identifies the part's text
- * @param tokens its length
+ * @param id the identifier of the part's text
+ * @param tokens the part's length in tokens
  */
 public record PromptPart(long id, int tokens) {
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/RateLimitAllotment.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/RateLimitAllotment.java
@@ -6,46 +6,48 @@
 import org.banyancove.core.EndpointId;
 
 /**
- * Allots the rate limits that endpoints name for all gateways together.
+ * Allocates the rate limits, which endpoints declare for all gateways together, to
+ * individual gateways.
  * <p>
- * Shared among all gateways, a limit of a few requests a second would be exceeded as soon
- * as each of them sends one. It is allotted to a few gateways, which every gateway ranks
- * alike by rendezvous hashing, so that no agreement is needed; other endpoints have other
- * ones.
+ * A limit of a few requests per second, divided among all gateways, would be exceeded as
+ * soon as each of them sends one request. It is allocated to a few gateways, which all
+ * gateways rank identically by rendezvous hashing, so that no coordination is needed. The
+ * gateways differ by endpoint.
  */
 public final class RateLimitAllotment {
 
-	/** Gateways to which a limit is allotted at least: one of them may be down. */
-	private static final int MINIMUM_SENDERS = 2;
+	/** Minimum number of gateways that share a limit: one of them may be down. */
+	private static final int MINIMUM_GATEWAYS = 2;
 
-	private final String own;
+	private final String ownName;
 
 	private final Supplier<? extends Collection<String>> gateways;
 
 	/**
-	 * Creates the allotment.
-	 * @param own the gateway's name
-	 * @param gateways returns the names of all gateways, this one's included
+	 * Creates the allocation.
+	 * @param ownName this gateway's name
+	 * @param gateways supplies the names of all gateways, this one's included
 	 */
-	public RateLimitAllotment(String own, Supplier<? extends Collection<String>> gateways) {
-		this.own = own;
+	public RateLimitAllotment(String ownName, Supplier<? extends Collection<String>> gateways) {
+		this.ownName = ownName;
 		this.gateways = gateways;
 	}
 
 	/**
 	 * Returns this gateway's share of a limit.
-	 * @param endpoint the endpoint that names it
+	 * @param endpoint the endpoint that declares the limit
 	 * @param requestsPerSecond the limit
-	 * @param rotation changes which gateways have a share
-	 * @return the requests a second, 0 if this gateway has no share
+	 * @param rotation the rotation number, which determines the gateways that have a
+	 * share
+	 * @return the requests per second, 0 if this gateway has no share
 	 */
 	double share(EndpointId endpoint, double requestsPerSecond, long rotation) {
 		Collection<String> names = this.gateways.get();
-		int senders = (int) Math.min(names.size(), MINIMUM_SENDERS + Math.floor(requestsPerSecond));
+		int shareCount = (int) Math.min(names.size(), MINIMUM_GATEWAYS + Math.floor(requestsPerSecond));
 		long key = endpoint.value().hashCode() + rotation;
-		long ownWeight = RendezvousHash.weight(key, this.own);
-		long before = names.stream().filter((name) -> RendezvousHash.weight(key, name) > ownWeight).count();
-		return (before < senders) ? requestsPerSecond / senders : 0;
+		long ownWeight = RendezvousHash.weight(key, this.ownName);
+		long higherRanked = names.stream().filter((name) -> RendezvousHash.weight(key, name) > ownWeight).count();
+		return (higherRanked < shareCount) ? requestsPerSecond / shareCount : 0;
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/RendezvousHash.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/RendezvousHash.java
@@ -1,7 +1,7 @@
 package org.banyancove.gateway.endpoint;
 
 /**
- * The random weights of rendezvous hashing, which all gateways compute alike.
+ * The weights of rendezvous hashing, which are identical on all gateways.
  */
 final class RendezvousHash {
 
@@ -19,7 +19,7 @@
 		return mix(key ^ mix(member.hashCode()));
 	}
 
-	// The finalizer of SplitMix64, which spreads neighbouring keys evenly.
+	// The finalizer of SplitMix64, which distributes adjacent keys evenly.
 	private static long mix(long value) {
 		long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
 		mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The endpoints that are known, what each is doing, and which of them a request goes to.
+ * The table of endpoints, their observed state, and the placement of requests.
  * <p>
- * Pure decisions over tables; the event loop's thread owns them.
+ * In-memory state and decisions without input or output, confined to the event loop
+ * thread.
  */
 @NullMarked
 package org.banyancove.gateway.endpoint;
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/QuotaLimiterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/QuotaLimiterTests.java
@@ -16,35 +16,33 @@
 
 	private static final TokenQuota QUOTA = new TokenQuota(true, 135_000, 135_000, 200);
 
-	// What may be let in beyond rate and burst in a window: a tenth, and a fixed amount.
-	private static final double OVERSHOOT = 0.1;
+	// Tolerated usage beyond rate and burst in a window: a tenth, plus a fixed amount.
+	private static final double OVERSHOOT_RATIO = 0.1;
 
-	private static final double SLACK = 140_000;
+	private static final double OVERSHOOT_AMOUNT = 140_000;
 
 	@Test
-	void letsNothingInBeforeAnythingWasEarned() {
-		QuotaLimiter meter = new QuotaLimiter(QUOTA, 0);
-		assertThat(meter.tryAcquire(1000, 0)).isFalse();
-		assertThat(meter.tryAcquire(1000, SECOND / 100)).isTrue();
+	void acceptsNoRequestBeforeTheFirstRefill() {
+		QuotaLimiter limiter = new QuotaLimiter(QUOTA, 0);
+		assertThat(limiter.tryAcquire(1000, 0)).isFalse();
+		assertThat(limiter.tryAcquire(1000, SECOND / 100)).isTrue();
 	}
 
 	@Test
-	void letsARequestInThatIsLargerThanWhatIsLeft() {
-		QuotaLimiter meter = new QuotaLimiter(QUOTA, 0);
-		assertThat(meter.tryAcquire(500_000, SECOND)).isTrue();
-		assertThat(meter.tryAcquire(1, 2 * SECOND)).isFalse();
-		assertThat(meter.retryAfter()).isBetween(Duration.ofSeconds(1), Duration.ofSeconds(4));
+	void acceptsARequestThatCostsMoreThanTheBucketHolds() {
+		QuotaLimiter limiter = new QuotaLimiter(QUOTA, 0);
+		assertThat(limiter.tryAcquire(500_000, SECOND)).isTrue();
+		assertThat(limiter.tryAcquire(1, 2 * SECOND)).isFalse();
+		assertThat(limiter.retryAfter()).isBetween(Duration.ofSeconds(1), Duration.ofSeconds(4));
 	}
 
-	// An operator lowers the limit of an account that has saved its burst. Callers are
-	// owed
-	// what the new limit lets in from a full bucket; one that began empty would reject
-	// it.
+	// Guards against rejecting requests within the quota after an operator changes it: a
+	// full bucket must remain full when the quota is lowered, and not start empty.
 	@Test
-	void aChangedLimitGoesOnFromWhatIsLeft() {
-		QuotaLimiter meter = new QuotaLimiter(QUOTA, 0);
+	void aChangedQuotaKeepsTheLevel() {
+		QuotaLimiter limiter = new QuotaLimiter(QUOTA, 0);
 		TokenQuota lower = new TokenQuota(true, 30_000, 30_000, 200);
-		QuotaLimiter lowered = meter.changedTo(lower, SECOND);
+		QuotaLimiter lowered = limiter.changedTo(lower, SECOND);
 		assertThat(lowered.available()).isEqualTo(30_000);
 		lowered.tryAcquire(50_000, SECOND);
 		QuotaLimiter raised = lowered.changedTo(QUOTA, SECOND);
@@ -52,94 +50,97 @@
 		assertThat(raised.used()).isEqualTo(50_000);
 	}
 
-	// One account sends eight times its rate to nine gateways, half of it to one of them.
-	// Each hears what the others let in a quarter of a second late. In no window of 8 s
-	// may all of them together let in more than rate, burst and what is tolerated beyond.
+	// Guards against an overshoot of the quota over all gateways. An account sends eight
+	// times its rate to nine gateways, half of it to one of them, and usage reports
+	// arrive
+	// a quarter of a second late. In each window of 8 s, the gateways together must
+	// accept
+	// at most rate and burst plus the tolerance.
 	@Test
-	void allGatewaysTogetherKeepToTheAllowanceOfAnAccountThatSendsEightTimesItsRate() {
+	void allGatewaysTogetherKeepToTheQuotaAtEightTimesTheRate() {
 		Fleet fleet = new Fleet(9);
-		double most = fleet.mostInWindow(8, 8 * QUOTA.ratePerSecond());
-		double allowed = (QUOTA.ratePerSecond() * 8 + QUOTA.burst()) * (1 + OVERSHOOT) + SLACK;
-		assertThat(most).isLessThan(allowed);
-		assertThat(most).isGreaterThan(0.95 * QUOTA.ratePerSecond() * 8);
+		double maximum = fleet.maximumInWindow(8, 8 * QUOTA.ratePerSecond());
+		double allowed = (QUOTA.ratePerSecond() * 8 + QUOTA.burst()) * (1 + OVERSHOOT_RATIO) + OVERSHOOT_AMOUNT;
+		assertThat(maximum).isLessThan(allowed);
+		assertThat(maximum).isGreaterThan(0.95 * QUOTA.ratePerSecond() * 8);
 	}
 
-	// A fleet is cut in two halves that both go on serving. Each half leaves the rate of
-	// the gateways that it doesn't hear to them.
+	// Guards against an overshoot in a network partition with two halves that both serve
+	// requests: each half reserves the share of the gateways that it cannot reach.
 	@Test
-	void halvesThatDoNotHearEachOtherKeepToTheAllowance() {
+	void partitionedHalvesKeepToTheQuota() {
 		Fleet fleet = new Fleet(8);
-		fleet.cut();
-		double most = fleet.mostInWindow(8, 8 * QUOTA.ratePerSecond());
-		double allowed = (QUOTA.ratePerSecond() * 8 + QUOTA.burst()) * (1 + OVERSHOOT) + SLACK;
-		assertThat(most).isLessThan(allowed);
+		fleet.partition();
+		double maximum = fleet.maximumInWindow(8, 8 * QUOTA.ratePerSecond());
+		double allowed = (QUOTA.ratePerSecond() * 8 + QUOTA.burst()) * (1 + OVERSHOOT_RATIO) + OVERSHOOT_AMOUNT;
+		assertThat(maximum).isLessThan(allowed);
 	}
 
 	private static final class Fleet {
 
-		private static final int STEPS_A_SECOND = 100;
+		private static final int STEPS_PER_SECOND = 100;
 
-		private static final int STEPS_TO_HEAR = 25;
+		private static final int STEPS_PER_REPORT = 25;
 
 		private final SplittableRandom random = new SplittableRandom(7);
 
-		private final List<QuotaLimiter> meters = new ArrayList<>();
+		private final List<QuotaLimiter> limiters = new ArrayList<>();
 
-		private final double[] told;
+		private final double[] reported;
 
-		private boolean cut;
+		private boolean partitioned;
 
 		private Fleet(int size) {
 			for (int i = 0; i < size; i++) {
-				this.meters.add(new QuotaLimiter(QUOTA, 0));
+				this.limiters.add(new QuotaLimiter(QUOTA, 0));
 			}
-			this.told = new double[size];
+			this.reported = new double[size];
 		}
 
-		private void cut() {
-			this.cut = true;
-			this.meters.forEach((meter) -> meter.reachable(0.5));
+		private void partition() {
+			this.partitioned = true;
+			this.limiters.forEach((limiter) -> limiter.reachable(0.5));
 		}
 
-		private boolean hears(int one, int other) {
-			return !this.cut || (one % 2) == (other % 2);
+		private boolean canReach(int one, int other) {
+			return !this.partitioned || (one % 2) == (other % 2);
 		}
 
-		// Plays 40 s after 10 calm ones, and returns the most that was let in in a
-		// window.
-		private double mostInWindow(int windowSeconds, double askedPerSecond) {
-			double[] letIn = new double[50 * STEPS_A_SECOND];
-			for (int step = 10 * STEPS_A_SECOND; step < letIn.length; step++) {
-				long now = step * SECOND / STEPS_A_SECOND;
-				double asked = askedPerSecond / STEPS_A_SECOND;
-				while (asked > 0) {
+		// Simulates 40 s after 10 s without requests, and returns the maximum usage
+		// accepted in a window.
+		private double maximumInWindow(int windowSeconds, double offeredPerSecond) {
+			double[] accepted = new double[50 * STEPS_PER_SECOND];
+			for (int step = 10 * STEPS_PER_SECOND; step < accepted.length; step++) {
+				long now = step * SECOND / STEPS_PER_SECOND;
+				double offered = offeredPerSecond / STEPS_PER_SECOND;
+				while (offered > 0) {
 					double cost = 2000 + this.random.nextInt(20_000);
-					int gateway = this.random.nextBoolean() ? 0 : this.random.nextInt(this.meters.size());
-					letIn[step] += this.meters.get(gateway).tryAcquire(cost, now) ? cost : 0;
-					asked -= cost;
+					int gateway = this.random.nextBoolean() ? 0 : this.random.nextInt(this.limiters.size());
+					accepted[step] += this.limiters.get(gateway).tryAcquire(cost, now) ? cost : 0;
+					offered -= cost;
 				}
-				if (step % STEPS_TO_HEAR == 0) {
-					exchange(now);
+				if (step % STEPS_PER_REPORT == 0) {
+					exchangeReports(now);
 				}
 			}
-			double most = 0;
-			for (int end = windowSeconds * STEPS_A_SECOND; end < letIn.length; end++) {
+			double maximum = 0;
+			for (int end = windowSeconds * STEPS_PER_SECOND; end < accepted.length; end++) {
 				double sum = 0;
-				for (int step = end - windowSeconds * STEPS_A_SECOND; step < end; step++) {
-					sum += letIn[step];
+				for (int step = end - windowSeconds * STEPS_PER_SECOND; step < end; step++) {
+					sum += accepted[step];
 				}
-				most = Math.max(most, sum);
+				maximum = Math.max(maximum, sum);
 			}
-			return most;
+			return maximum;
 		}
 
-		private void exchange(long now) {
-			for (int from = 0; from < this.meters.size(); from++) {
-				double since = this.meters.get(from).used() - this.told[from];
-				this.told[from] += since;
-				for (int to = 0; to < this.meters.size(); to++) {
-					if (to != from && hears(from, to)) {
-						this.meters.get(to).remoteUsage(since, now);
+		private void exchangeReports(long now) {
+			for (int from = 0; from < this.limiters.size(); from++) {
+				double unreported = this.limiters.get(from).used() - this.reported[from];
+				this.reported[from] += unreported;
+				for (int to = 0; to < this.limiters.size(); to++) {
+					if (to != from && canReach(from, to)) {
+						this.limiters.get(to).remoteUsage(unreported, now);
 					}
 				}
 			}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointRateLimiterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointRateLimiterTests.java
@@ -27,7 +27,7 @@
 	private final EndpointRateLimiter limiter = new EndpointRateLimiter(ENDPOINT,
 			new RateLimitAllotment("own", () -> List.of("own")));
 
-	// Guards against a limit that is allotted twice, or in part to nobody.
+	// Guards against a limit that is allocated twice, or not allocated in full.
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.3, 1, 5.5, 40, 1000 })
 	void theSharesOfAllGatewaysAddUpToTheLimit(double requestsPerSecond) {
@@ -35,10 +35,10 @@
 		assertThat(sum).isCloseTo(requestsPerSecond, within(1e-6));
 	}
 
-	// Guards against a limit that is never seen to end since the gateways that may send
-	// are down.
+	// Guards against a limit whose end is never observed because the gateways that have a
+	// share are down.
 	@Test
-	void otherGatewaysGetAShareInAnotherRotation() {
+	void anotherRotationGivesSharesToOtherGateways() {
 		List<String> first = this.names.stream().filter((name) -> share(name, 1, 0) > 0).toList();
 		List<String> second = this.names.stream().filter((name) -> share(name, 1, 1) > 0).toList();
 		assertThat(first).hasSize(3).isNotEqualTo(second);
@@ -58,9 +58,9 @@
 		assertThat(this.limiter.permits(SECOND / 2)).isFalse();
 	}
 
-	// Guards against a report that arrives late and undoes what was observed since.
+	// Guards against a delayed report that overrides a later observation.
 	@Test
-	void anOlderObservationIsPassedOver() {
+	void anOlderObservationIsIgnored() {
 		this.limiter.observe(2.0, SECOND, SECOND);
 		assertThat(this.limiter.observe(null, SECOND / 2, 2 * SECOND)).isFalse();
 		assertThat(this.limiter.permits(SECOND)).isFalse();
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointTableTests.java
@@ -36,7 +36,7 @@
 	}
 
 	@Test
-	void anEndpointThatIsLeavingTakesNothing() {
+	void aDrainingEndpointReceivesNoRequests() {
 		PlacementRule placement = new PlacementRule(new DataCenterName("a"));
 		assertThat(placement.choose(this.table.listed(SERVICE), Prompt.NONE, Set.of(), 0)).isNotNull();
 		this.table.put(entry(true));
@@ -44,15 +44,16 @@
 	}
 
 	@Test
-	void anEndpointThatIsNoLongerListedIsTakenOutAtOnce() {
+	void anUnlistedEndpointIsRemovedImmediately() {
 		this.table.unlisted(ID, null, 0);
 		assertThat(this.table.all()).isEmpty();
 	}
 
-	// The store was away until a second ago, and entries lapsed meanwhile. The endpoint
-	// lives and writes itself in again; callers are served by it all the while.
+	// Guards against dropping a live endpoint whose entry expired during an outage of the
+	// store. The store recovered a second ago, and the endpoint registers again while it
+	// keeps serving requests.
 	@Test
-	void anEndpointWhoseEntryLapsedInAnOutageIsKeptUntilItIsBack() {
+	void anEndpointUnlistedByAnOutageIsKeptUntilItIsListedAgain() {
 		this.table.unlisted(ID, Duration.ofSeconds(1), 0);
 		assertThat(this.table.listed(SERVICE)).hasSize(1);
 		this.table.put(entry(false));
@@ -60,32 +61,33 @@
 	}
 
 	@Test
-	void oneThatDoesNotComeBackIsGone() {
+	void anUnlistedEndpointIsRemovedAfterTheGracePeriod() {
 		this.table.unlisted(ID, Duration.ofSeconds(1), 0);
 		assertThat(this.table.expire(1000 * MILLISECOND)).containsExactly(ID);
 		assertThat(this.table.listed(SERVICE)).isEmpty();
 	}
 
-	// The store has been back for three seconds, so what lapsed in its absence is listed
-	// again. An endpoint that leaves now has left; a request sent to it would find
-	// nobody.
+	// Guards against keeping an endpoint that was removed: the store recovered three
+	// seconds ago, so that live endpoints are listed again, and a request sent to an
+	// endpoint that is unlisted now would fail.
 	@Test
-	void anEndpointThatLeavesLongAfterAnOutageIsNotTakenForALapse() {
+	void anEndpointUnlistedLongAfterAnOutageIsRemovedImmediately() {
 		this.table.unlisted(ID, Duration.ofSeconds(3), 0);
 		assertThat(this.table.listed(SERVICE)).isEmpty();
 	}
 
 	@Test
-	void anEndpointThatWasLeavingIsNotTakenForALapse() {
+	void aDrainingEndpointIsRemovedImmediatelyAfterAnOutage() {
 		this.table.put(entry(true));
 		this.table.unlisted(ID, Duration.ofSeconds(1), 0);
 		assertThat(this.table.all()).isEmpty();
 	}
 
-	// A process starts, and the list of endpoints is read before the configuration. Taken
-	// for a plain service, an engine would get prompts regardless of what waits there.
+	// Guards against treating an engine as a plain service, which would place prompts
+	// regardless of its queue, when a starting process reads the list of endpoints before
+	// the configuration.
 	@Test
-	void anEndpointThatIsListedBeforeTheConfigurationIsReadCountsAsWhatItIs() {
+	void theConfigurationAppliesToEndpointsListedBeforeIt() {
 		EndpointTable early = new EndpointTable(new RateLimitAllotment("gateway", () -> List.of("gateway")));
 		early.put(entry(false));
 		Endpoint endpoint = early.listed(SERVICE).getFirst();
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PlacementRuleTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PlacementRuleTests.java
@@ -38,10 +38,10 @@
 		}
 	}
 
-	// One session gets a third of all traffic, in a burst. Its own endpoint fills up, and
-	// the rest goes to others before the prompts wait for each other.
+	// Guards against queueing at one endpoint when a single session sends a burst of a
+	// third of all traffic: once its owner is full, other endpoints receive the rest.
 	@Test
-	void aSessionWithMuchOfTheTrafficSpillsOver() {
+	void aSessionWithMuchOfTheTrafficSpillsOverToOtherEndpoints() {
 		List<Endpoint> endpoints = endpoints(6);
 		Map<EndpointId, Integer> sent = new HashMap<>();
 		for (int i = 0; i < 60; i++) {
@@ -54,10 +54,10 @@
 		assertThat(sent.values()).allSatisfy((count) -> assertThat(count).isLessThan(25));
 	}
 
-	// The endpoint that holds a session's long prompt is busy. The next one must copy the
-	// prompt from it: prefilled once more, it would delay all that runs there.
+	// Guards against a second prefill of a session's long prompt when its owner is busy,
+	// which would delay all requests that run at the endpoint chosen instead.
 	@Test
-	void aSessionThatSpillsOverCopiesItsPromptFromItsOwner() {
+	void anotherEndpointCopiesThePromptFromABusyOwner() {
 		List<Endpoint> endpoints = endpoints(6);
 		Endpoint owner = choose(endpoints, prompt(7, 5000));
 		owner.others(20, 200_000);
@@ -67,19 +67,20 @@
 		assertThat(spilled.prefillTokens()).isEqualTo(1500);
 	}
 
-	// Nine gateways send a session's requests to its owner, and each sees one in nine.
-	// Its
-	// long prompt is prefilled once; counted at each gateway's first request, it would
-	// order several times the engines that are needed.
+	// Guards against counting the prefill of a session's long prompt at the first request
+	// of each of nine gateways: its owner prefills it once, and several times the engines
+	// needed would be ordered.
 	@Test
-	void aSessionsOwnerIsTakenToHoldItsPromptAtAGatewaysFirstRequest() {
+	void theOwnerIsAssumedToHaveThePromptCachedAtTheFirstRequest() {
 		assertThat(place(endpoints(6), prompt(7, 5000)).prefillTokens()).isEqualTo(1500);
 	}
 
-	// The endpoint that holds a session's prompt is taken away in two seconds. Its
-	// sessions go to their next owners, which copy from it while it still runs.
+	// Guards against losing cached prompts on reclaim: the sessions of an endpoint whose
+	// VM
+	// is reclaimed in two seconds move to their next owners, which copy from it while it
+	// still runs.
 	@Test
-	void theNextOwnerCopiesFromAnEndpointThatIsLeaving() {
+	void theNextOwnerCopiesFromADrainingEndpoint() {
 		List<Endpoint> endpoints = endpoints(6);
 		Endpoint owner = choose(endpoints, prompt(7, 5000));
 		EndpointEntry entry = owner.entry();
@@ -90,10 +91,10 @@
 		assertThat(next.prefixSource()).isEqualTo(owner);
 	}
 
-	// A session's owner was cut off and fails. A request that waited for a copy from it
-	// would be late.
+	// Guards against copying from an owner that became unreachable: a request that waits
+	// for such a copy is late.
 	@Test
-	void nothingIsCopiedFromAnEndpointThatFails() {
+	void noPrefixIsCopiedFromAFailingEndpoint() {
 		List<Endpoint> endpoints = endpoints(6);
 		Endpoint owner = choose(endpoints, prompt(7, 5000));
 		owner.failed(0);
@@ -109,14 +110,14 @@
 	}
 
 	@Test
-	void whatOtherGatewaysSentCounts() {
+	void theLoadOfOtherGatewaysIsConsidered() {
 		List<Endpoint> endpoints = endpoints(2);
 		endpoints.getFirst().others(10, 60_000);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
 	}
 
 	@Test
-	void anEndpointThatFailsIsAvoidedAndOneThatDoesNotAnswerIsPaused() {
+	void aFailingEndpointIsAvoidedAndAnUnresponsiveOneIsBackedOff() {
 		List<Endpoint> endpoints = endpoints(2);
 		endpoints.getFirst().answered(false, 0);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
@@ -129,7 +130,7 @@
 	}
 
 	@Test
-	void aDataCentreThatMayBeCutOffIsUsedOnlyIfNothingElseIsLeft() {
+	void anUnreachableDataCenterIsUsedOnlyAsALastResort() {
 		List<Endpoint> endpoints = endpoints(1);
 		EndpointEntry near = endpoints.getFirst().entry();
 		endpoints.add(new Endpoint(
@@ -144,10 +145,11 @@
 		assertThat(choose(endpoints.subList(1, 2), prompt(0, 0))).isEqualTo(endpoints.getLast());
 	}
 
-	// Engines lost answers for a few seconds. They are well again, but nobody sends them
-	// anything, so that nothing shows it; the others' queues grow.
+	// Guards against avoiding recovered engines permanently: without requests nothing
+	// shows that they recovered from failures of a few seconds, and the queues of the
+	// others grow.
 	@Test
-	void anEndpointIsTriedAgainSomeSecondsAfterItFailed() {
+	void anEndpointIsTriedAgainSecondsAfterItsFailures() {
 		List<Endpoint> endpoints = endpoints(2);
 		for (int i = 0; i < 6; i++) {
 			endpoints.getFirst().answered(false, 0);
@@ -160,7 +162,7 @@
 	}
 
 	@Test
-	void aSlowEndpointGetsLess() {
+	void aSlowEndpointIsAvoided() {
 		List<Endpoint> endpoints = endpoints(2);
 		for (int i = 0; i < 20; i++) {
 			endpoints.getFirst().firstToken(Duration.ofMillis(600), 10_000, 0);
@@ -170,7 +172,7 @@
 	}
 
 	@Test
-	void anEndpointThatStartedAgainHoldsNothing() {
+	void aRestartedEndpointHasAnEmptyCache() {
 		Endpoint endpoint = endpoints(1).getFirst();
 		Prompt prompt = prompt(3, 5000);
 		endpoint.sent(prompt, prompt.tokensIn());
@@ -189,7 +191,7 @@
 		return Objects.requireNonNull(this.rule.choose(endpoints, prompt, Set.of(), 0));
 	}
 
-	// The last part is a request's own.
+	// The last part is unique to the request.
 	private Prompt prompt(long session, int sharedTokens) {
 		this.requests++;
 		return new Prompt(List.of(new PromptPart(1, 500), new PromptPart(100 + session, sharedTokens),
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PrefillLatencyTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PrefillLatencyTests.java
@@ -10,65 +10,67 @@
 
 	private static final double TRUE_MILLIS_PER_TOKEN = 0.0176;
 
-	/** An order for half as many engines again as are needed is the most allowed. */
-	private static final double MOST_OVER = 1.5;
+	/** Ordering up to half more engines than needed is tolerated. */
+	private static final double TOLERANCE_FACTOR = 1.5;
 
 	private final SplittableRandom random = new SplittableRandom(11);
 
-	// Prompts of 1,000 to 12,000 tokens come to an engine that is busy for seven tenths
-	// of its time. Callers wait for those before them, of which this gateway sees one in
-	// nine. The estimate, by which endpoints are ordered, must not grow with the queue.
+	// Guards against an estimate that includes queueing, since endpoints are ordered by
+	// it. Prompts of 1,000 to 12,000 tokens arrive at an engine with a utilization of 0.7
+	// and queue behind others, of which this gateway observes one in nine.
 	@Test
-	void aQueueIsNotTakenForASlowEngine() {
+	void queueingIsNotAttributedToTheEngine() {
 		Engine engine = new Engine(0, TRUE_MILLIS_PER_TOKEN, 0.7 / 6500);
-		engine.play(9000, 1000, 12_000);
+		engine.simulate(9000, 1000, 12_000);
 		assertThat(engine.sum / engine.samples).as("the mean of all samples")
-			.isGreaterThan(MOST_OVER * TRUE_MILLIS_PER_TOKEN);
-		assertThat(engine.estimate.millisPerToken()).isBetween(TRUE_MILLIS_PER_TOKEN / MOST_OVER,
-				TRUE_MILLIS_PER_TOKEN * MOST_OVER);
+			.isGreaterThan(TOLERANCE_FACTOR * TRUE_MILLIS_PER_TOKEN);
+		assertThat(engine.estimate.millisPerToken()).isBetween(TRUE_MILLIS_PER_TOKEN / TOLERANCE_FACTOR,
+				TRUE_MILLIS_PER_TOKEN * TOLERANCE_FACTOR);
 	}
 
-	// Three requests in four have a prompt of a few hundred tokens and wait mostly for
-	// the fixed part of their first token. Taken for prefill, it would claim several
-	// times the engine time that all prompts need, and as many engines would be ordered.
+	// Guards against attributing the fixed latency to prefill, which would order several
+	// times the engines needed. Three requests in four have a prompt of a few hundred
+	// tokens, whose time to first token is mostly the fixed latency.
 	@Test
-	void theFixedPartOfAFirstTokenIsNotTakenForPrefill() {
-		double fast = 0.009;
-		Engine engine = new Engine(55, fast, 0.4 / 3000);
+	void theFixedLatencyIsNotAttributedToPrefill() {
+		double actualMillisPerToken = 0.009;
+		Engine engine = new Engine(55, actualMillisPerToken, 0.4 / 3000);
 		for (int i = 0; i < 3000; i++) {
-			engine.play(3, 300, 1500);
-			engine.play(1, 4000, 14_000);
+			engine.simulate(3, 300, 1500);
+			engine.simulate(1, 4000, 14_000);
 		}
-		assertThat(engine.estimate.millisPerToken()).isBetween(fast / MOST_OVER, fast * MOST_OVER);
-		assertThat(engine.estimate.millis(0)).isBetween(55 / MOST_OVER, 55 * MOST_OVER);
+		assertThat(engine.estimate.millisPerToken()).isBetween(actualMillisPerToken / TOLERANCE_FACTOR,
+				actualMillisPerToken * TOLERANCE_FACTOR);
+		assertThat(engine.estimate.millis(0)).isBetween(55 / TOLERANCE_FACTOR, 55 * TOLERANCE_FACTOR);
 	}
 
-	// A gateway starts and gets three prompts a second. Until it knows how fast its
-	// engines
-	// are, it orders for engines half as fast, so it must know within ten seconds.
+	// Guards against slow convergence at startup: a gateway that receives three prompts
+	// per second orders endpoints as for engines half as fast until the estimate
+	// converges, which must take at most ten seconds.
 	@Test
-	void thirtyPromptsTellAProcessThatHasJustStarted() {
-		double fast = 0.007;
-		Engine engine = new Engine(52, fast, 0.3 / 3000);
+	void theEstimateConvergesWithinThirtyPrompts() {
+		double actualMillisPerToken = 0.007;
+		Engine engine = new Engine(52, actualMillisPerToken, 0.3 / 3000);
 		for (int i = 0; i < 60; i++) {
-			engine.play(3, 200, 3000);
-			engine.play(1, 4000, 14_000);
+			engine.simulate(3, 200, 3000);
+			engine.simulate(1, 4000, 14_000);
 		}
 		assertThat(engine.samples).isLessThan(30);
-		assertThat(engine.estimate.millisPerToken()).isBetween(fast / MOST_OVER, fast * MOST_OVER);
-		assertThat(engine.estimate.millis(0)).isBetween(52 / MOST_OVER, 52 * MOST_OVER);
+		assertThat(engine.estimate.millisPerToken()).isBetween(actualMillisPerToken / TOLERANCE_FACTOR,
+				actualMillisPerToken * TOLERANCE_FACTOR);
+		assertThat(engine.estimate.millis(0)).isBetween(52 / TOLERANCE_FACTOR, 52 * TOLERANCE_FACTOR);
 	}
 
 	@Test
-	void anEngineThatTurnsSlowIsNoticedWithinAFewSeconds() {
+	void theEstimateFollowsAnEngineThatBecomesSlow() {
 		PrefillLatency estimate = new PrefillLatency();
 		for (int i = 0; i < 100; i++) {
-			estimate.learn(10_000 * 4 * TRUE_MILLIS_PER_TOKEN, 10_000);
+			estimate.addSample(10_000 * 4 * TRUE_MILLIS_PER_TOKEN, 10_000);
 		}
 		assertThat(estimate.millisPerToken()).isGreaterThan(2 * TRUE_MILLIS_PER_TOKEN);
 	}
 
-	/** An engine with a queue, one in nine of whose first tokens is seen. */
+	/** An engine with a queue; one in nine of its first tokens is observed. */
 	private final class Engine {
 
 		private final PrefillLatency estimate = new PrefillLatency();
@@ -77,7 +79,7 @@
 
 		private final double millisPerToken;
 
-		private final double tokenShare;
+		private final double tokenUtilization;
 
 		private double now;
 
@@ -92,18 +94,18 @@
 		private Engine(double fixedMillis, double millisPerToken, double utilizationPerToken) {
 			this.fixedMillis = fixedMillis;
 			this.millisPerToken = millisPerToken;
-			this.tokenShare = utilizationPerToken;
+			this.tokenUtilization = utilizationPerToken;
 		}
 
-		private void play(int requests, int fewestTokens, int mostTokens) {
+		private void simulate(int requests, int minimumTokens, int maximumTokens) {
 			for (int i = 0; i < requests; i++) {
-				int tokens = fewestTokens + PrefillLatencyTests.this.random.nextInt(mostTokens - fewestTokens);
+				int tokens = minimumTokens + PrefillLatencyTests.this.random.nextInt(maximumTokens - minimumTokens);
 				double gap = -Math.log(1 - PrefillLatencyTests.this.random.nextDouble());
-				this.now += gap * this.millisPerToken / this.tokenShare;
+				this.now += gap * this.millisPerToken / this.tokenUtilization;
 				this.freeAt = Math.max(this.freeAt, this.now) + tokens * this.millisPerToken;
 				if (this.sent++ % 9 == 0) {
 					double millis = this.fixedMillis + this.freeAt - this.now;
-					this.estimate.learn(millis, tokens);
+					this.estimate.addSample(millis, tokens);
 					this.sum += millis / tokens;
 					this.samples++;
 				}
