--- a/banyancove-program/src/main/java/org/banyancove/program/CommandLineProgram.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/CommandLineProgram.java
@@ -9,10 +9,10 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * The frame of every program: options, settings, exit codes and the one error line.
+ * Base class of all programs, which handles options, settings, exit codes and errors.
  * <p>
- * An error that ends the program is one line on standard error, {@code error: code:
- * message}, with the code of its {@link ErrorKind}.
+ * An error that terminates the program is printed as one line on standard error,
+ * {@code error: code: message}, with the code of its {@link ErrorKind}.
  *
  * @param <S> the settings' type
  */
@@ -28,10 +28,10 @@
 
 	/**
 	 * Creates a program.
-	 * @param name the program's name, as operators type it
+	 * @param name the program's name on the command line
 	 * @param settingsType the record that receives the settings
-	 * @param output where the program prints its results
-	 * @param errors where the program prints the line that says why it ended
+	 * @param output the stream for results
+	 * @param errors the stream for the error line
 	 */
 	protected CommandLineProgram(String name, Class<S> settingsType, PrintStream output, PrintStream errors) {
 		this.name = name;
@@ -48,17 +48,17 @@
 	}
 
 	/**
-	 * Does the program's work with checked settings, on the calling thread.
+	 * Runs the program with validated settings, on the calling thread.
 	 * @param settings the settings
 	 * @param commander the parsed command line
 	 * @return the exit code
-	 * @throws Exception if the work fails; {@link BanyancoveException} and
-	 * {@link BindException} choose the exit code
+	 * @throws Exception if the program fails; {@link BanyancoveException} and
+	 * {@link BindException} determine the exit code
 	 */
 	protected abstract ExitCode run(S settings, JCommander commander) throws Exception;
 
 	/**
-	 * Returns where the program prints its results.
+	 * Returns the stream for the program's results.
 	 * @return the stream
 	 */
 	protected PrintStream output() {
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * Runs the program. The caller ends the process with the code returned.
+	 * Runs the program. The caller exits the process with the returned code.
 	 * @param arguments the command line
 	 * @return the exit code
 	 */
--- a/banyancove-program/src/main/java/org/banyancove/program/DurationText.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/DurationText.java
@@ -5,24 +5,24 @@
 import java.util.regex.Pattern;
 
 /**
- * Durations as people write them in settings: {@code 250ms}, {@code 12s}, {@code 5m},
- * {@code 6h}, {@code 3d}.
+ * Parses and formats durations in the form used in settings: {@code 250ms}, {@code 12s},
+ * {@code 5m}, {@code 6h}, {@code 3d}.
  */
 public final class DurationText {
 
-	private static final Pattern FORM = Pattern.compile("(\\d{1,12})(ms|s|m|h|d)");
+	private static final Pattern PATTERN = Pattern.compile("(\\d{1,12})(ms|s|m|h|d)");
 
 	private DurationText() {
 	}
 
 	/**
-	 * Reads a duration.
+	 * Parses a duration.
 	 * @param text a whole number followed by its unit
 	 * @return the duration
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text does not have this form
 	 */
 	public static Duration parse(String text) {
-		Matcher matcher = FORM.matcher(text);
+		Matcher matcher = PATTERN.matcher(text);
 		if (!matcher.matches()) {
 			throw new IllegalArgumentException(
 					"a duration must be a whole number with its unit ms, s, m, h or d: '" + text + "'");
@@ -38,9 +38,9 @@
 	}
 
 	/**
-	 * Writes a duration in the largest unit that holds it without a fraction.
+	 * Formats a duration in the largest unit that represents it without a fraction.
 	 * @param duration the duration, in whole milliseconds
-	 * @return the text, which {@link #parse(String)} reads
+	 * @return the text, as accepted by {@link #parse(String)}
 	 */
 	public static String format(Duration duration) {
 		long millis = duration.toMillis();
--- a/banyancove-program/src/main/java/org/banyancove/program/ExitCode.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/ExitCode.java
@@ -7,22 +7,22 @@
  */
 public enum ExitCode {
 
-	/** The program did what it was asked to. */
+	/** The program completed successfully. */
 	SUCCESS(0),
 
-	/** A failure that has no code of its own. */
+	/** A failure without a specific exit code. */
 	FAILURE(1),
 
-	/** The command line or the settings are wrong. */
+	/** The command line or the settings are invalid. */
 	USAGE(2),
 
-	/** An address to listen on is taken. */
+	/** An address to listen on is in use. */
 	ADDRESS_IN_USE(3),
 
-	/** The platform does not answer. */
+	/** The platform is unreachable. */
 	PLATFORM_UNREACHABLE(4),
 
-	/** A change was made from a revision that is no longer the newest. */
+	/** A change was based on a revision that is no longer the latest. */
 	REVISION_CONFLICT(5);
 
 	private final int code;
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Returns the process's exit code.
+	 * Returns the exit code of the process.
 	 * @return the code
 	 */
 	public int code() {
@@ -41,7 +41,7 @@
 
 	/**
 	 * Returns the exit code for a kind of error.
-	 * @param kind the kind
+	 * @param kind the kind of error
 	 * @return the exit code
 	 */
 	public static ExitCode of(ErrorKind kind) {
--- a/banyancove-program/src/main/java/org/banyancove/program/MetricsText.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/MetricsText.java
@@ -9,7 +9,8 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * The metrics of one process in Prometheus' text form, for a {@code /metrics} handler.
+ * Exports the metrics of a process in Prometheus' text format, for a {@code /metrics}
+ * handler.
  */
 public final class MetricsText {
 
@@ -18,8 +19,8 @@
 	private final PrometheusTextFormatWriter writer = PrometheusTextFormatWriter.create();
 
 	/**
-	 * Creates the text over a registry.
-	 * @param registry the registry that the process's metrics were registered with
+	 * Creates the export for a registry.
+	 * @param registry the registry of the process's metrics
 	 */
 	public MetricsText(PrometheusRegistry registry) {
 		this.registry = registry;
@@ -34,7 +35,7 @@
 	}
 
 	/**
-	 * Returns the present values. Can be called from any thread.
+	 * Returns the current values. Can be called from any thread.
 	 * @return the metrics as text
 	 */
 	public String text() {
--- a/banyancove-program/src/main/java/org/banyancove/program/ObjectiveMetrics.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/ObjectiveMetrics.java
@@ -5,8 +5,8 @@
 import org.banyancove.core.burn.RequestSample;
 
 /**
- * Counts the requests that met and missed their profile's targets, for the burn report.
- * Safe for use by any thread.
+ * Counts the requests that met or missed their profile's targets, for the burn rate
+ * report. Thread-safe.
  */
 public final class ObjectiveMetrics {
 
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Counts a request, if it counts against its profile's objective.
+	 * Adds a request, if it counts towards its profile's objective.
 	 * @param sample the request
 	 */
 	public void add(RequestSample sample) {
--- a/banyancove-program/src/main/java/org/banyancove/program/ProgramVersion.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/ProgramVersion.java
@@ -6,7 +6,7 @@
 import java.util.Properties;
 
 /**
- * The version that the build wrote into the program.
+ * Reads the version that the build stored in the program's resources.
  */
 final class ProgramVersion {
 
--- a/banyancove-program/src/main/java/org/banyancove/program/RequestSampleJson.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/RequestSampleJson.java
@@ -15,8 +15,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The JSON line of a recorded request: entries write it, the burn report reads it. Safe
- * for use by any thread.
+ * Converts a recorded request to and from a JSON line, which entries write and the burn
+ * rate report reads. Thread-safe.
  */
 public final class RequestSampleJson {
 
@@ -28,7 +28,7 @@
 	/**
 	 * Writes a request.
 	 * @param sample the request
-	 * @return one line, without its end
+	 * @return one line, without a line terminator
 	 */
 	public String write(RequestSample sample) {
 		try {
@@ -41,7 +41,7 @@
 
 	/**
 	 * Reads a request.
-	 * @param line the line
+	 * @param line the JSON line
 	 * @return the request
 	 * @throws IllegalArgumentException if the line is not a recorded request
 	 */
--- a/banyancove-program/src/main/java/org/banyancove/program/SettingsKey.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/SettingsKey.java
@@ -7,10 +7,10 @@
 import java.lang.annotation.Target;
 
 /**
- * Documents one key of a settings file, on the record component that receives it.
+ * Documents a key of a settings file, on the record component that receives its value.
  * <p>
- * The default written here is the default that is used: {@link SettingsReader} fills an
- * absent key from it, so the documentation cannot differ from what the program does.
+ * {@link SettingsReader} uses the documented default for an absent key, so that the
+ * documentation cannot differ from the program's behaviour.
  */
 @Documented
 @Retention(RetentionPolicy.RUNTIME)
@@ -18,28 +18,28 @@
 public @interface SettingsKey {
 
 	/**
-	 * Returns what the key means, in one sentence without a full stop.
-	 * @return the meaning
+	 * Returns the description of the key, in one sentence without a full stop.
+	 * @return the description
 	 */
 	String meaning();
 
 	/**
-	 * Returns the unit of the value, or an empty string where it has none.
+	 * Returns the unit of the value, or an empty string if it has none.
 	 * @return the unit
 	 */
 	String unit() default "";
 
 	/**
-	 * Returns the value that stands for an absent key: text, durations and names without
-	 * quotes, everything else as TOML. Empty for a key that must be given.
-	 * @return the default
+	 * Returns the default value of an absent key: text, durations and names without
+	 * quotes, any other value as TOML. Empty if the key has no default.
+	 * @return the default value
 	 */
 	String defaultValue() default "";
 
 	/**
 	 * Returns whether the key may be absent without a default; the component is then
 	 * {@code null}.
-	 * @return whether the key may be left out
+	 * @return whether the key may be omitted
 	 */
 	boolean optional() default false;
 
--- a/banyancove-program/src/main/java/org/banyancove/program/SettingsModule.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/SettingsModule.java
@@ -18,7 +18,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Teaches Jackson the scalar types of settings: durations with units, and identifiers.
+ * Jackson module for the scalar types of settings: durations with units, and identifiers.
  */
 final class SettingsModule extends SimpleModule {
 
@@ -36,9 +36,10 @@
 	}
 
 	/**
-	 * Returns whether a type is an identifier: a record around one text.
+	 * Returns whether a type is an identifier, which is a record with a single text
+	 * component named {@code value}.
 	 * @param type the type
-	 * @return whether the type is written as plain text
+	 * @return whether values of the type are written as plain text
 	 */
 	static boolean isIdentifier(Class<?> type) {
 		if (!type.isRecord()) {
--- a/banyancove-program/src/main/java/org/banyancove/program/SettingsReader.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/SettingsReader.java
@@ -28,12 +28,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads TOML settings into records and checks them.
+ * Reads TOML settings into records and validates them.
  * <p>
  * Keys are the components' names in kebab case. An unknown key, a missing key, a value of
- * the wrong type and a value that a compact constructor refuses each give one
+ * the wrong type and a value that a compact constructor rejects each result in a
  * {@link BanyancoveException} of kind {@link ErrorKind#SETTINGS_INVALID}, whose message
- * names file, key and value. Instances are immutable and can be shared.
+ * names the file, key and value. Instances are immutable and thread-safe.
  */
 public final class SettingsReader {
 
@@ -61,14 +61,14 @@
 	 * @param recordType the record that receives the settings
 	 * @return the settings
 	 * @throws BanyancoveException of kind {@link ErrorKind#SETTINGS_INVALID} if the file
-	 * cannot be read or a key or value is wrong
+	 * cannot be read or a key or value is invalid
 	 */
 	public <T extends Record> T read(Path file, Class<T> recordType) {
 		return convert(file.toString(), parse(file), recordType);
 	}
 
 	/**
-	 * Gives the settings of an empty file.
+	 * Returns the settings of an empty file.
 	 * @param <T> the settings' type
 	 * @param recordType the record that receives the settings
 	 * @return the settings
@@ -80,12 +80,12 @@
 	}
 
 	/**
-	 * Lists every key with type, unit, default and meaning, one line each.
+	 * Lists all keys with type, unit, default and description, one line each.
 	 * @param recordType the settings record
 	 * @return the lines
 	 */
 	public List<String> describe(Class<? extends Record> recordType) {
-		return SettingsShape.describe(recordType);
+		return SettingsSchema.describe(recordType);
 	}
 
 	private ObjectNode parse(Path file) {
@@ -110,7 +110,7 @@
 			return this.mapper.treeToValue(tree, recordType);
 		}
 		catch (JsonMappingException ex) {
-			throw invalid(source + ": " + reason(tree, ex), ex);
+			throw invalid(source + ": " + errorMessage(tree, ex), ex);
 		}
 		catch (JsonProcessingException ex) {
 			throw invalid(source + ": " + firstLine(ex.getOriginalMessage()), ex);
@@ -118,14 +118,14 @@
 	}
 
 	private void complete(String source, String prefix, ObjectNode table, Class<?> recordType) {
-		List<SettingsShape.Key> keys = SettingsShape.keys(recordType);
-		refuseUnknown(source, prefix, table, keys);
-		for (SettingsShape.Key key : keys) {
+		List<SettingsSchema.Key> keys = SettingsSchema.keys(recordType);
+		rejectUnknownKeys(source, prefix, table, keys);
+		for (SettingsSchema.Key key : keys) {
 			complete(source, prefix, table, key);
 		}
 	}
 
-	private void refuseUnknown(String source, String prefix, ObjectNode table, List<SettingsShape.Key> keys) {
+	private void rejectUnknownKeys(String source, String prefix, ObjectNode table, List<SettingsSchema.Key> keys) {
 		Set<String> known = new TreeSet<>();
 		keys.forEach((key) -> known.add(key.name()));
 		Set<String> unknown = new HashSet<>();
@@ -137,45 +137,46 @@
 		}
 	}
 
-	private void complete(String source, String prefix, ObjectNode table, SettingsShape.Key key) {
+	private void complete(String source, String prefix, ObjectNode table, SettingsSchema.Key key) {
 		String path = prefix + key.name();
 		JsonNode value = table.get(key.name());
 		if (value == null) {
-			value = absent(source, path, key);
+			value = absentValue(source, path, key);
 			if (value == null) {
 				return;
 			}
 			table.set(key.name(), value);
 		}
-		Class<?> inner = key.tableType();
-		if (inner != null) {
-			completeTables(source, path, value, key, inner);
+		Class<?> tableType = key.tableType();
+		if (tableType != null) {
+			completeTables(source, path, value, key, tableType);
 		}
 	}
 
-	private void completeTables(String source, String path, JsonNode value, SettingsShape.Key key, Class<?> inner) {
+	private void completeTables(String source, String path, JsonNode value, SettingsSchema.Key key,
+			Class<?> tableType) {
 		if (key.isList() && value instanceof ArrayNode array) {
 			for (int i = 0; i < array.size(); i++) {
-				completeTable(source, path + "[" + i + "]", array.get(i), inner);
+				completeTable(source, path + "[" + i + "]", array.get(i), tableType);
 			}
 		}
 		else if (key.isMap() && value instanceof ObjectNode tables) {
 			tables.properties()
-				.forEach((entry) -> completeTable(source, path + "." + entry.getKey(), entry.getValue(), inner));
+				.forEach((entry) -> completeTable(source, path + "." + entry.getKey(), entry.getValue(), tableType));
 		}
 		else {
-			completeTable(source, path, value, inner);
+			completeTable(source, path, value, tableType);
 		}
 	}
 
-	private void completeTable(String source, String path, JsonNode value, Class<?> inner) {
+	private void completeTable(String source, String path, JsonNode value, Class<?> tableType) {
 		if (!(value instanceof ObjectNode table)) {
 			throw invalid(source + ": key '" + path + "' must be a table, is " + value, null);
 		}
-		complete(source, path + ".", table, inner);
+		complete(source, path + ".", table, tableType);
 	}
 
-	private @Nullable JsonNode absent(String source, String path, SettingsShape.Key key) {
+	private @Nullable JsonNode absentValue(String source, String path, SettingsSchema.Key key) {
 		SettingsKey documentation = key.documentation();
 		if (documentation != null && !documentation.defaultValue().isEmpty()) {
 			return defaultNode(key, documentation.defaultValue());
@@ -190,7 +191,7 @@
 		throw invalid(source + ": key '" + path + "' is missing and has no default" + meaning, null);
 	}
 
-	private JsonNode defaultNode(SettingsShape.Key key, String defaultValue) {
+	private JsonNode defaultNode(SettingsSchema.Key key, String defaultValue) {
 		if (!key.isLiteral()) {
 			return TextNode.valueOf(defaultValue);
 		}
@@ -198,11 +199,11 @@
 			return this.toml.readTree("value = " + defaultValue).get("value");
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("The default of " + key.component() + " is not TOML: " + defaultValue, ex);
+			throw new IllegalStateException("the default of " + key.component() + " is not TOML: " + defaultValue, ex);
 		}
 	}
 
-	private static String reason(JsonNode tree, JsonMappingException exception) {
+	private static String errorMessage(JsonNode tree, JsonMappingException exception) {
 		StringBuilder path = new StringBuilder();
 		JsonNode value = tree;
 		for (JsonMappingException.Reference step : exception.getPath()) {
@@ -215,11 +216,11 @@
 				value = value.path(step.getIndex());
 			}
 		}
-		String shown = (path.length() > 0) ? "key '" + path + "' has the wrong value " + value + ": " : "";
-		return shown + cause(exception);
+		String description = (path.length() > 0) ? "key '" + path + "' has the wrong value " + value + ": " : "";
+		return description + causeMessage(exception);
 	}
 
-	private static String cause(JsonMappingException exception) {
+	private static String causeMessage(JsonMappingException exception) {
 		Throwable cause = exception.getCause();
 		if (exception instanceof ValueInstantiationException && cause != null && cause.getMessage() != null) {
 			return cause.getMessage();
--- a/banyancove-program/src/main/java/org/banyancove/program/SettingsShape.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/SettingsSchema.java
@@ -13,13 +13,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a settings record says about the keys of its file.
+ * Derives the keys of a settings file from its record type.
  */
-final class SettingsShape {
+final class SettingsSchema {
 
 	private static final KebabCaseStrategy NAMING = new KebabCaseStrategy();
 
-	private SettingsShape() {
+	private SettingsSchema() {
 	}
 
 	static List<Key> keys(Class<?> recordType) {
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Lists every key of a settings record, one line each, tables included.
+	 * Lists all keys of a settings record including those of tables, one line each.
 	 * @param recordType the settings record
 	 * @return the lines
 	 */
@@ -49,7 +49,7 @@
 				lines.add(line(path, key));
 			}
 			else {
-				describe(path + key.tableMark(), table, lines);
+				describe(path + key.tablePathSuffix(), table, lines);
 			}
 		}
 	}
@@ -63,11 +63,11 @@
 		if (!documentation.unit().isEmpty()) {
 			line.append(", ").append(documentation.unit());
 		}
-		line.append(", ").append(presence(documentation)).append(")  ");
+		line.append(", ").append(defaultOrPresence(documentation)).append(")  ");
 		return line.append(documentation.meaning()).toString();
 	}
 
-	private static String presence(SettingsKey documentation) {
+	private static String defaultOrPresence(SettingsKey documentation) {
 		if (!documentation.defaultValue().isEmpty()) {
 			return "default " + documentation.defaultValue();
 		}
@@ -75,9 +75,9 @@
 	}
 
 	/**
-	 * One key of a settings file.
+	 * A key of a settings file.
 	 *
-	 * @param name the name in the file
+	 * @param name the key's name in the file
 	 * @param component the record component that receives the value
 	 */
 	record Key(String name, RecordComponent component) {
@@ -99,23 +99,23 @@
 		}
 
 		/**
-		 * Returns whether the default is written as TOML and not as plain text.
-		 * @return whether the default is TOML
+		 * Returns whether the default value is written as TOML instead of plain text.
+		 * @return whether the default value is TOML
 		 */
 		boolean isLiteral() {
 			return isList() || isMap() || (type().isPrimitive() && type() != char.class);
 		}
 
 		/**
-		 * Returns the record behind a table, an array of tables or a map of tables.
-		 * @return the record's type, or {@code null} for any other value
+		 * Returns the record type of a table, an array of tables or a map of tables.
+		 * @return the record's type, or {@code null} for other values
 		 */
 		@Nullable Class<?> tableType() {
-			Class<?> inner = elementType();
-			return (inner.isRecord() && !SettingsModule.isIdentifier(inner)) ? inner : null;
+			Class<?> element = elementType();
+			return (element.isRecord() && !SettingsModule.isIdentifier(element)) ? element : null;
 		}
 
-		String tableMark() {
+		String tablePathSuffix() {
 			if (isList()) {
 				return "[].";
 			}
--- a/banyancove-program/src/main/java/org/banyancove/program/SocketAddressText.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/SocketAddressText.java
@@ -4,7 +4,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Socket addresses as people write them in settings: {@code 127.0.0.1:8080}.
+ * Parses and formats socket addresses in the form used in settings:
+ * {@code 127.0.0.1:8080}.
  */
 public final class SocketAddressText {
 
@@ -14,8 +15,8 @@
 	}
 
 	/**
-	 * Writes an address.
-	 * @param address the address, resolved
+	 * Formats an address.
+	 * @param address the resolved address
 	 * @return the host and port
 	 */
 	public static String format(InetSocketAddress address) {
@@ -23,10 +24,10 @@
 	}
 
 	/**
-	 * Reads an address.
+	 * Parses an address.
 	 * @param text the host and port
 	 * @return the address
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text does not have this form
 	 */
 	public static InetSocketAddress parse(String text) {
 		int colon = text.lastIndexOf(':');
@@ -37,10 +38,11 @@
 	}
 
 	/**
-	 * Reads an address without looking a name up, which would hold up the calling thread.
+	 * Parses a numeric address. Never resolves a host name, which would block the calling
+	 * thread.
 	 * @param text the IPv4 address and port
 	 * @return the address
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text does not have this form
 	 */
 	public static InetSocketAddress parseNumeric(String text) {
 		if (!NUMERIC.matcher(text).matches()) {
--- a/banyancove-program/src/main/java/org/banyancove/program/StandardOptions.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/StandardOptions.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The options that every program takes.
+ * The command-line options of all programs.
  */
 final class StandardOptions {
 
@@ -24,7 +24,7 @@
 	boolean checkSettings;
 
 	@Parameter(names = "--print-settings", help = true,
-			description = "List every settings key with type, unit, default and meaning, and exit")
+			description = "List all settings keys with type, unit, default and description, and exit")
 	boolean printSettings;
 
 }
--- a/banyancove-program/src/main/java/org/banyancove/program/StatusPages.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/StatusPages.java
@@ -11,8 +11,8 @@
 import com.sun.net.httpserver.HttpHandler;
 
 /**
- * The pages for operators and the platform's balancer: liveness, readiness, metrics and
- * status.
+ * HTTP handler for operators and the platform's load balancer, which serves liveness,
+ * readiness, metrics and status.
  */
 public final class StatusPages implements HttpHandler {
 
@@ -27,10 +27,10 @@
 	private final Map<String, Supplier<String>> pages;
 
 	/**
-	 * Creates the pages.
-	 * @param ready whether new work is taken
-	 * @param metrics the metrics in Prometheus' text format
-	 * @param status the state of this process in JSON
+	 * Creates the handler.
+	 * @param ready whether the process accepts new work
+	 * @param metrics supplies the metrics in Prometheus' text format
+	 * @param status supplies the state of this process in JSON
 	 */
 	public StatusPages(BooleanSupplier ready, Supplier<String> metrics, Supplier<String> status) {
 		this.ready = ready;
@@ -42,8 +42,8 @@
 		try (exchange) {
 			String path = exchange.getRequestURI().getPath();
 			if (path.equals("/readyz")) {
-				boolean takesWork = this.ready.getAsBoolean();
-				write(exchange, takesWork ? OK : UNAVAILABLE, takesWork ? "ready\n" : "not ready\n");
+				boolean acceptsWork = this.ready.getAsBoolean();
+				write(exchange, acceptsWork ? OK : UNAVAILABLE, acceptsWork ? "ready\n" : "not ready\n");
 				return;
 			}
 			Supplier<String> page = this.pages.get(path);
--- a/banyancove-program/src/main/java/org/banyancove/program/TickLoop.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/TickLoop.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The single thread that owns a program's state: it runs each event in turn, and a tick
- * at a fixed pause. Safe for use by any thread.
+ * Event loop on a single thread, to which a program's state is confined. Runs events in
+ * order, and a periodic tick with a fixed delay. Thread-safe.
  */
 public final class TickLoop implements AutoCloseable {
 
@@ -23,9 +23,9 @@
 	private final FailureListener failures;
 
 	/**
-	 * Creates the loop; it runs events at once and ticks after {@link #start}.
-	 * @param threadName the name of its thread
-	 * @param failures told of events that failed, on the loop's thread
+	 * Creates the loop, which runs events immediately and ticks after {@link #start}.
+	 * @param threadName the name of the loop's thread
+	 * @param failures the listener for failed events, called on the loop's thread
 	 */
 	public TickLoop(String threadName, FailureListener failures) {
 		this.executor = new ScheduledThreadPoolExecutor(1, (task) -> new Thread(task, threadName));
@@ -35,19 +35,19 @@
 	}
 
 	/**
-	 * Starts to tick.
-	 * @param pause the time between the end of a tick and the next one
-	 * @param tick what a tick does
+	 * Starts the periodic tick.
+	 * @param delay the time between the end of a tick and the start of the next one
+	 * @param tick the action of a tick
 	 */
-	public void start(Duration pause, Runnable tick) {
-		long nanos = pause.toNanos();
+	public void start(Duration delay, Runnable tick) {
+		long nanos = delay.toNanos();
 		this.executor.scheduleWithFixedDelay(() -> run(tick), nanos, nanos, TimeUnit.NANOSECONDS);
 	}
 
 	/**
-	 * Runs an event on the loop's thread, after those that came before. Once the loop is
-	 * closed the event is dropped.
-	 * @param event what is to be done; its text names it in the log where it fails
+	 * Runs an event on the loop's thread, after the events posted before. After the loop
+	 * is closed, the event is dropped.
+	 * @param event the event; its {@code toString()} identifies it in the log if it fails
 	 */
 	public void post(Runnable event) {
 		if (!this.executor.isShutdown()) {
@@ -57,9 +57,9 @@
 
 	/**
 	 * Reads the program's state on the loop's thread.
-	 * @param <T> what is read
-	 * @param reader reads it
-	 * @return what was read
+	 * @param <T> the type of the result
+	 * @param reader reads the state
+	 * @return the reader's result
 	 * @throws IllegalStateException if the reader fails or this thread is interrupted
 	 */
 	public <T> T read(Callable<T> reader) {
@@ -80,14 +80,14 @@
 		this.executor.shutdownNow();
 	}
 
-	// One event that breaks a promise must not end the loop: what it was about stops
-	// there, everything else goes on.
+	// An event that violates an invariant must not terminate the loop: only the work that
+	// it belongs to is aborted.
 	private void run(Runnable event) {
 		try {
 			event.run();
 		}
 		catch (InvariantViolationException ex) {
-			logger.error("A promise would have been broken by {}", event, ex);
+			logger.error("Invariant violated by event {}", event, ex);
 			this.failures.invariantViolated();
 		}
 		catch (RuntimeException ex) {
@@ -97,17 +97,17 @@
 	}
 
 	/**
-	 * Counts what went wrong in the loop.
+	 * Listener for failures in the loop.
 	 */
 	public interface FailureListener {
 
 		/**
-		 * A promise would have been broken.
+		 * Called after an event violated an invariant.
 		 */
 		void invariantViolated();
 
 		/**
-		 * An event failed.
+		 * Called after an event failed for another reason.
 		 */
 		void eventFailed();
 
--- a/banyancove-program/src/main/java/org/banyancove/program/package-info.java
+++ b/banyancove-program/src/main/java/org/banyancove/program/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What every program shares: command line, checked settings, logs and metrics.
+ * Shared support for all programs: command line, validated settings, logs and metrics.
  */
 @NullMarked
 package org.banyancove.program;
--- a/banyancove-program/src/test/java/org/banyancove/program/CommandLineProgramTests.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/CommandLineProgramTests.java
@@ -22,7 +22,7 @@
 	private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
 	@Test
-	void helpVersionAndSettingsKeysArePrinted() {
+	void printsHelpVersionAndSettingsKeys() {
 		assertThat(execute(null, "--help")).isEqualTo(ExitCode.SUCCESS);
 		assertThat(execute(null, "--version")).isEqualTo(ExitCode.SUCCESS);
 		assertThat(execute(null, "--print-settings")).isEqualTo(ExitCode.SUCCESS);
@@ -31,13 +31,13 @@
 	}
 
 	@Test
-	void settingsAreCheckedWithoutRunning() {
+	void checksSettingsWithoutRunning() {
 		assertThat(execute(new IllegalStateException("ran"), "--check-settings")).isEqualTo(ExitCode.SUCCESS);
 		assertThat(execute(null, "--check-settings", "--settings", "/nonexistent.toml")).isEqualTo(ExitCode.USAGE);
 	}
 
 	@Test
-	void eachFailureHasItsExitCodeAndOneLine() {
+	void eachFailureHasItsExitCodeAndOneErrorLine() {
 		assertThat(execute(null, "--wrong")).isEqualTo(ExitCode.USAGE);
 		assertThat(execute(new BindException("Address already in use"))).isEqualTo(ExitCode.ADDRESS_IN_USE);
 		assertThat(execute(new BanyancoveException(ErrorKind.PLATFORM_UNREACHABLE, "no answer")))
@@ -49,7 +49,7 @@
 	}
 
 	@Test
-	void metricsComeFromTheRegistryThatWasGiven() {
+	void exportsTheMetricsOfTheGivenRegistry() {
 		PrometheusRegistry registry = new PrometheusRegistry();
 		Counter.builder().name("answers_total").help("Answers").register(registry).inc();
 		assertThat(new MetricsText(registry).text()).contains("answers_total 1.0");
--- a/banyancove-program/src/test/java/org/banyancove/program/HttpServerDefaultsTests.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/HttpServerDefaultsTests.java
@@ -11,7 +11,7 @@
 class HttpServerDefaultsTests {
 
 	@Test
-	void theServerTakesTheProperties() throws Exception {
+	void theServerAppliesTheProperties() throws Exception {
 		HttpServerDefaults.apply();
 		HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
 		try {
--- a/banyancove-program/src/test/java/org/banyancove/program/LogLinesTests.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/LogLinesTests.java
@@ -17,7 +17,7 @@
 
 	@Test
 	void eachLineIsJsonWithTheRequestIdentifier() throws IOException {
-		PrintStream before = System.err;
+		PrintStream originalErr = System.err;
 		ByteArrayOutputStream lines = new ByteArrayOutputStream();
 		System.setErr(new PrintStream(lines, true, StandardCharsets.UTF_8));
 		try (MDC.MDCCloseable request = MDC.putCloseable("requestId", "request-7")) {
@@ -25,7 +25,7 @@
 			LoggerFactory.getLogger(LogLinesTests.class).warn("first line\nsecond line");
 		}
 		finally {
-			System.setErr(before);
+			System.setErr(originalErr);
 		}
 		assertThat(lines.toString(StandardCharsets.UTF_8).lines()).hasSize(1);
 		JsonNode line = new ObjectMapper().readTree(lines.toByteArray());
--- a/banyancove-program/src/test/java/org/banyancove/program/RequestSampleJsonTests.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/RequestSampleJsonTests.java
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void countsByProfileAccountAndWhetherTheTargetsWereMet() {
+	void countsRequestsByProfileAccountAndMetTargets() {
 		PrometheusRegistry registry = new PrometheusRegistry();
 		ObjectiveMetrics metrics = new ObjectiveMetrics(registry);
 		metrics.add(sample(300L, true, null));
--- a/banyancove-program/src/test/java/org/banyancove/program/SettingsReaderTests.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/SettingsReaderTests.java
@@ -58,7 +58,7 @@
 			listen-address = "a" ; zone = "z" ; peers = [{}]       | key 'peers[0].address' is missing
 			listen-address =                                       | line 1
 			""")
-	void refusesWithOneErrorThatNamesFileKeyAndValue(String settings, String message) throws IOException {
+	void rejectsInvalidSettingsWithFileKeyAndValue(String settings, String message) throws IOException {
 		Path file = write(settings.replace(" ; ", "\n"));
 		assertThatExceptionOfType(BanyancoveException.class).isThrownBy(() -> this.reader.read(file, Sample.class))
 			.withMessageContaining(file.toString())
@@ -67,14 +67,14 @@
 	}
 
 	@Test
-	void refusesAFileThatDoesNotExist() {
+	void rejectsAFileThatDoesNotExist() {
 		Path file = this.directory.resolve("none.toml");
 		assertThatExceptionOfType(BanyancoveException.class).isThrownBy(() -> this.reader.read(file, Sample.class))
 			.withMessageContaining(file.toString());
 	}
 
 	@Test
-	void describesEveryKey() {
+	void describesAllKeys() {
 		assertThat(this.reader.describe(Sample.class)).contains(
 				"interval  (duration, default 250ms)  Time between two probes", "zone  (text, required)",
 				"limits.share  (double, share, default 0.5)  Largest share", "peers[].address  (text, required)",
@@ -82,7 +82,7 @@
 	}
 
 	@Test
-	void durationsKeepTheirUnit() {
+	void formatsDurationsInTheUnitThatWasParsed() {
 		for (String text : List.of("250ms", "12s", "5m", "6h", "3d", "0s")) {
 			assertThat(DurationText.format(DurationText.parse(text))).isEqualTo(text);
 		}
--- a/banyancove-program/src/test/java/org/banyancove/program/TickLoopTests.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/TickLoopTests.java
@@ -16,11 +16,11 @@
 
 	private final Failures failures = new Failures();
 
-	// A caller's request meets a fault in the program, and the next one breaks a promise.
-	// Both are counted and named in the log, and the request after them is served: the
-	// thread that all requests share must not end with one of them.
+	// Guards against a failing event that terminates the thread that all requests share.
+	// An event with a bug and one that violates an invariant are counted and logged, and
+	// the event after them runs.
 	@Test
-	void anEventThatFailsDoesNotEndTheLoop() {
+	void aFailingEventDoesNotTerminateTheLoop() {
 		try (TickLoop loop = new TickLoop("test-loop", this.failures)) {
 			loop.post(() -> {
 				throw new IllegalStateException("a fault");
@@ -33,9 +33,10 @@
 		}
 	}
 
-	// A tick that fails once must come again: leases and timers hang on it.
+	// Guards against a failing tick that cancels the periodic tick, on which leases and
+	// timers depend.
 	@Test
-	void aTickThatFailsComesAgain() throws InterruptedException {
+	void aFailingTickIsRepeated() throws InterruptedException {
 		CountDownLatch ticks = new CountDownLatch(3);
 		try (TickLoop loop = new TickLoop("test-loop", this.failures)) {
 			loop.start(Duration.ofMillis(1), () -> {
--- a/banyancove-program/src/test/java/org/banyancove/program/package-info.java
+++ b/banyancove-program/src/test/java/org/banyancove/program/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of what every program shares.
+ * Tests of the shared support for all programs.
  */
 @NullMarked
 package org.banyancove.program;
