--- a/banyancove-core/src/main/java/org/banyancove/core/admission/AccountQueue.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/AccountQueue.java
@@ -7,7 +7,7 @@
 import org.banyancove.core.AccountName;
 
 /**
- * What one account has running and waiting at one service.
+ * The running and waiting requests of an account at a service.
  */
 final class AccountQueue implements Comparable<AccountQueue> {
 
@@ -15,13 +15,13 @@
 
 	private static final double MEAN_WEIGHT = 0.1;
 
-	private final Deque<Waiting> waiting = new ArrayDeque<>(2);
+	private final Deque<WaitingRequest> waiting = new ArrayDeque<>(2);
 
 	private int running;
 
-	private double tag;
+	private double startTag;
 
-	private double secondsPerPlace;
+	private double secondsPerPosition;
 
 	AccountQueue(AccountName account) {
 		this.account = account;
@@ -31,7 +31,7 @@
 		return this.account;
 	}
 
-	Deque<Waiting> waiting() {
+	Deque<WaitingRequest> waiting() {
 		return this.waiting;
 	}
 
@@ -39,8 +39,8 @@
 		return this.running;
 	}
 
-	double tag() {
-		return this.tag;
+	double startTag() {
+		return this.startTag;
 	}
 
 	boolean isIdle() {
@@ -48,17 +48,17 @@
 	}
 
 	/**
-	 * Moves an account that starts to wait up to the service's virtual time: what it left
-	 * unused while it had nothing to send is not saved up.
+	 * Advances the start tag of an account that begins to wait to the service's virtual
+	 * time, so that an idle account does not accumulate unused capacity.
 	 * @param virtualTime the service's virtual time
 	 */
-	void catchUp(double virtualTime) {
-		this.tag = Math.max(this.tag, virtualTime);
+	void advanceTo(double virtualTime) {
+		this.startTag = Math.max(this.startTag, virtualTime);
 	}
 
-	void start(AdmissionRequest request) {
+	void admit(AdmissionRequest request) {
 		this.running++;
-		this.tag += request.cost() / request.weight();
+		this.startTag += request.cost() / request.weight();
 	}
 
 	void release() {
@@ -66,38 +66,38 @@
 	}
 
 	/**
-	 * Learns from a wait that ended how fast the account's queue moves.
-	 * @param seconds how long the request waited
-	 * @param place its place in the account's queue when it came, from 1
+	 * Records the wait of an admitted request.
+	 * @param seconds the duration of the wait in seconds
+	 * @param position the request's position in the account's queue on arrival, from 1
 	 */
-	void observeWait(double seconds, int place) {
-		double perPlace = seconds / place;
-		this.secondsPerPlace = ((this.secondsPerPlace == 0) ? perPlace
-				: this.secondsPerPlace + MEAN_WEIGHT * (perPlace - this.secondsPerPlace));
+	void observeWait(double seconds, int position) {
+		double perPosition = seconds / position;
+		this.secondsPerPosition = ((this.secondsPerPosition == 0) ? perPosition
+				: this.secondsPerPosition + MEAN_WEIGHT * (perPosition - this.secondsPerPosition));
 	}
 
 	/**
-	 * Returns how long each place in the account's queue took of late.
-	 * @return the time in seconds, 0 if nothing is known
+	 * Returns the moving average of the wait for each position in the account's queue.
+	 * @return the average in seconds, 0 without observations
 	 */
-	double secondsPerPlace() {
-		return this.secondsPerPlace;
+	double secondsPerPosition() {
+		return this.secondsPerPosition;
 	}
 
 	@Override
 	public int compareTo(AccountQueue other) {
-		int byTag = Double.compare(this.tag, other.tag);
-		return ((byTag != 0) ? byTag : this.account.compareTo(other.account));
+		int byStartTag = Double.compare(this.startTag, other.startTag);
+		return ((byStartTag != 0) ? byStartTag : this.account.compareTo(other.account));
 	}
 
 	/**
-	 * A request that waits.
+	 * A waiting request.
 	 *
 	 * @param request the request
-	 * @param since when it came
-	 * @param place its place in the account's queue then, from 1
+	 * @param arrivedAt the time of arrival
+	 * @param position the position in the account's queue on arrival, from 1
 	 */
-	record Waiting(AdmissionRequest request, Instant since, int place) {
+	record WaitingRequest(AdmissionRequest request, Instant arrivedAt, int position) {
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionDecision.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionDecision.java
@@ -6,13 +6,13 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Whether a request is let in.
+ * The result of admission control for a request.
  */
 public sealed interface AdmissionDecision {
 
 	/**
-	 * Returns the request that was decided on.
-	 * @return the request's identifier
+	 * Returns the identifier of the request.
+	 * @return the identifier
 	 */
 	RequestId request();
 
@@ -25,20 +25,20 @@
 	}
 
 	/**
-	 * The request waits; another decision on it follows.
+	 * The request waits; another decision follows.
 	 *
 	 * @param request the request
-	 * @param expected how long it is expected to wait
+	 * @param expected the expected duration of the wait
 	 */
 	record Waiting(RequestId request, Duration expected) implements AdmissionDecision {
 	}
 
 	/**
-	 * The request is given up and answered at once.
+	 * The request is refused and answered immediately.
 	 *
 	 * @param request the request
-	 * @param kind the kind of error to answer with
-	 * @param retryAfter when to come back, computed from the backlog
+	 * @param kind the kind of error to return
+	 * @param retryAfter the retry delay, computed from the backlog
 	 */
 	record Refused(RequestId request, ErrorKind kind, Duration retryAfter) implements AdmissionDecision {
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionRequest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionRequest.java
@@ -8,16 +8,16 @@
 import org.banyancove.core.profile.Profile;
 
 /**
- * A request that asks to be let in.
+ * A request subject to admission control.
  *
  * @param request the request's identifier
- * @param account the account that it belongs to
- * @param service the service that it asks for
- * @param profile the profile that it is accepted under
- * @param acceptedAt when it came
- * @param cost what it takes of the service, in any unit that is the same for all of the
- * service's requests, such as tokens; positive
- * @param weight the account's weight, twice the weight gets twice the share; positive
+ * @param account the account of the caller
+ * @param service the requested service
+ * @param profile the profile under which it was accepted
+ * @param acceptedAt when it was accepted
+ * @param cost the cost of the request in a unit common to all requests of the service,
+ * such as tokens; positive
+ * @param weight the account's weight, to which its share is proportional; positive
  */
 public record AdmissionRequest(RequestId request, AccountName account, ServiceName service, Profile profile,
 		Instant acceptedAt, double cost, double weight) {
--- a/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionSystem.java
@@ -14,11 +14,12 @@
 import org.banyancove.core.routing.EndpointTable;
 
 /**
- * Lets requests in as far as their service's endpoints have room within their adaptive
- * limits, lets a bounded number wait, and answers at once what would wait too long.
+ * Admits requests while the endpoints of their service have free capacity within their
+ * adaptive concurrency limits, queues a bounded number, and immediately refuses requests
+ * whose wait would be too long.
  * <p>
- * A request that is let in holds its place until {@link #released}, over all its
- * attempts. Belongs to the tick loop; not safe for use by several threads.
+ * An admitted request occupies a slot until {@link #released}, across all its attempts.
+ * Confined to the tick loop; not thread-safe.
  */
 public final class AdmissionSystem {
 
@@ -30,7 +31,7 @@
 
 	/**
 	 * Creates the system.
-	 * @param table the endpoints, whose limits are the capacity
+	 * @param table the endpoints, whose limits determine the capacity
 	 * @param clock the clock
 	 */
 	public AdmissionSystem(EndpointTable table, InstantSource clock) {
@@ -41,7 +42,7 @@
 	/**
 	 * Decides on a new request.
 	 * @param request the request
-	 * @return whether it is let in, waits or is refused
+	 * @return whether the request is admitted, waits or is refused
 	 */
 	public AdmissionDecision offer(AdmissionRequest request) {
 		Instant now = this.clock.instant();
@@ -51,24 +52,25 @@
 		}
 		ServiceQueue queue = queue(request.service());
 		queue.capacityKnown(this.table.isCapacityKnown(request.service()));
-		return queue.offer(request, room(request.service(), queue), this.table.meanFirstToken(request.service()), now);
+		return queue.offer(request, freeSlots(request.service(), queue), this.table.meanFirstToken(request.service()),
+				now);
 	}
 
 	/**
-	 * Notes that a request that was let in has ended.
+	 * Releases the slot of an admitted request that has ended.
 	 * @param service the service
 	 * @param request the request
-	 * @return decisions on requests that waited
+	 * @return the decisions on waiting requests
 	 */
 	public List<AdmissionDecision> released(ServiceName service, RequestId request) {
 		Instant now = this.clock.instant();
 		ServiceQueue queue = queue(service);
 		queue.release(request, now);
-		return queue.dispatch(room(service, queue), now);
+		return queue.dispatch(freeSlots(service, queue), now);
 	}
 
 	/**
-	 * Drops a request that waits, since its caller has gone.
+	 * Removes a waiting request that its caller has cancelled.
 	 * @param service the service
 	 * @param request the request
 	 */
@@ -77,23 +79,23 @@
 	}
 
 	/**
-	 * Looks again at what waits: endpoints may have come, grown or gone, and deadlines
-	 * passed.
-	 * @return decisions on requests that waited
+	 * Reevaluates waiting requests, since endpoints may have been added or removed,
+	 * limits may have changed, and deadlines may have expired.
+	 * @return the decisions on waiting requests
 	 */
 	public List<AdmissionDecision> tick() {
 		Instant now = this.clock.instant();
 		List<AdmissionDecision> decisions = new ArrayList<>();
 		this.services.forEach((service, queue) -> {
-			int room = room(service, queue);
-			decisions.addAll(queue.expire(room, now));
-			decisions.addAll(queue.dispatch(room, now));
+			int freeSlots = freeSlots(service, queue);
+			decisions.addAll(queue.expire(freeSlots, now));
+			decisions.addAll(queue.dispatch(freeSlots, now));
 		});
 		return decisions;
 	}
 
 	/**
-	 * Returns how many of a service's requests are let in and have not ended.
+	 * Returns the number of running requests of a service.
 	 * @param service the service
 	 * @return the number of requests
 	 */
@@ -102,7 +104,7 @@
 	}
 
 	/**
-	 * Returns how many of an account's requests are let in and have not ended.
+	 * Returns the number of running requests of an account at a service.
 	 * @param service the service
 	 * @param account the account
 	 * @return the number of requests
@@ -112,7 +114,7 @@
 	}
 
 	/**
-	 * Returns how many of a service's requests wait.
+	 * Returns the number of waiting requests of a service.
 	 * @param service the service
 	 * @return the number of requests
 	 */
@@ -120,11 +122,11 @@
 		return queue(service).waitingCount();
 	}
 
-	private int room(ServiceName service, ServiceQueue queue) {
-		// Returns the room that is left. A request that was let in and is not at an
-		// endpoint yet, or is between two attempts, has its place kept.
-		int notSent = Math.max(0, queue.runningCount() - this.table.ownInFlight(service));
-		return (int) Math.floor(this.table.freeCapacity(service)) - notSent;
+	private int freeSlots(ServiceName service, ServiceQueue queue) {
+		// Slots stay reserved for admitted requests that have not been sent to an
+		// endpoint yet or are between two attempts.
+		int reserved = Math.max(0, queue.runningCount() - this.table.ownInFlight(service));
+		return (int) Math.floor(this.table.freeCapacity(service)) - reserved;
 	}
 
 	private ServiceQueue queue(ServiceName service) {
--- a/banyancove-core/src/main/java/org/banyancove/core/admission/ServiceQueue.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/ServiceQueue.java
@@ -15,33 +15,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What runs and waits at one service, with fair queueing over its accounts.
+ * The running and waiting requests of a service, with fair queueing among its accounts.
  * <p>
- * Among the accounts that wait, the one that has had least by its weight goes first
- * (start-time fair queueing). An account that runs more than its share of the capacity is
- * passed over as long as another account that is within its share waits.
+ * Among the waiting accounts, the one with the lowest weighted usage is served first
+ * (start-time fair queueing). An account that exceeds its share of the capacity is
+ * skipped while another account within its share is waiting.
  */
 final class ServiceQueue {
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private static final double MEAN_WEIGHT = 0.05;
 
-	/** The share of the target that requests may wait while the overload lasts. */
-	private static final double OVERLOAD_WAIT_SHARE = 0.5;
+	/**
+	 * Share of the first-token target that requests may wait during sustained overload.
+	 */
+	private static final double OVERLOAD_WAIT_TARGET_SHARE = 0.5;
 
-	/** The share of the target that wait and first token together may take. */
-	private static final double TARGET_SHARE = 0.8;
+	/**
+	 * Share of the first-token target available to the wait and the first token together.
+	 */
+	private static final double FIRST_TOKEN_TARGET_SHARE = 0.8;
 
-	/** Some wait is allowed always, else places that fall free would stay empty. */
-	private static final double LEAST_WAIT_SHARE = 0.1;
+	/**
+	 * Share of the first-token target that requests may always wait; without it, released
+	 * slots would stay unused.
+	 */
+	private static final double MINIMUM_WAIT_TARGET_SHARE = 0.1;
 
-	private static final int MOST_WAITING = 10_000;
+	private static final int MAXIMUM_WAITING_REQUESTS = 10_000;
 
-	/** Bounds the work of predicting a wait where very many accounts wait. */
-	private static final int MOST_COUNTED = 64;
+	/** Bounds the cost of predicting a wait when very many accounts are waiting. */
+	private static final int MAXIMUM_COUNTED_ACCOUNTS = 64;
 
-	private static final double SHORTEST_RETRY_SECONDS = 0.1;
+	private static final double MINIMUM_RETRY_AFTER_SECONDS = 0.1;
 
 	private final Map<AccountName, AccountQueue> accounts = new HashMap<>();
 
@@ -53,15 +60,16 @@
 
 	private double virtualTime;
 
-	private double meanHoldSeconds;
+	private double meanRunSeconds;
 
 	private @Nullable Instant waitingSince;
 
 	private boolean capacityKnown;
 
 	/**
-	 * Takes whether the endpoints' limits are found, or still grow with each answer.
-	 * @param known whether they are found
+	 * Sets whether the capacity is known, or the endpoints' limits still grow with each
+	 * answer.
+	 * @param known whether most endpoints are past slow start
 	 */
 	void capacityKnown(boolean known) {
 		this.capacityKnown = known;
@@ -80,67 +88,67 @@
 		return ((queue != null) ? queue.running() : 0);
 	}
 
-	AdmissionDecision offer(AdmissionRequest request, int room, Duration firstToken, Instant now) {
-		if (this.waiting.isEmpty() && room >= 1) {
+	AdmissionDecision offer(AdmissionRequest request, int freeSlots, Duration meanFirstToken, Instant now) {
+		if (this.waiting.isEmpty() && freeSlots >= 1) {
 			AccountQueue account = account(request.account());
-			account.catchUp(this.virtualTime);
-			return start(account, request, now);
+			account.advanceTo(this.virtualTime);
+			return admit(account, request, now);
 		}
-		double expected = expectedWait(request, room);
-		double longest = longestWait(request, firstToken, now);
-		if (expected > longest || this.waiting.size() >= MOST_WAITING) {
-			return refuse(request, room, expected - longest);
+		double expected = expectedWait(request, freeSlots);
+		double maximum = maximumWait(request, meanFirstToken, now);
+		if (expected > maximum || this.waiting.size() >= MAXIMUM_WAITING_REQUESTS) {
+			return refuse(request, freeSlots, expected - maximum);
 		}
 		enqueue(request, now);
 		return new AdmissionDecision.Waiting(request.request(), duration(expected));
 	}
 
 	/**
-	 * Lets in as many as there is room for.
-	 * @param room how many more requests the endpoints can take
+	 * Admits as many waiting requests as there are free slots.
+	 * @param freeSlots the number of free slots
 	 * @param now the current time
-	 * @return the requests let in
+	 * @return the admissions
 	 */
-	List<AdmissionDecision> dispatch(int room, Instant now) {
-		if (room <= 0 || this.waiting.isEmpty()) {
+	List<AdmissionDecision> dispatch(int freeSlots, Instant now) {
+		if (freeSlots <= 0 || this.waiting.isEmpty()) {
 			return List.of();
 		}
 		List<AdmissionDecision> admitted = new ArrayList<>();
-		int capacity = this.running.size() + room;
-		for (int i = 0; i < room && !this.waiting.isEmpty(); i++) {
-			admitted.add(startNext(capacity, now));
+		int capacity = this.running.size() + freeSlots;
+		for (int i = 0; i < freeSlots && !this.waiting.isEmpty(); i++) {
+			admitted.add(admitNext(capacity, now));
 		}
 		return admitted;
 	}
 
 	/**
-	 * Refuses what has waited until its deadline.
-	 * @param room how many more requests the endpoints can take
+	 * Refuses waiting requests whose deadline has expired.
+	 * @param freeSlots the number of free slots
 	 * @param now the current time
-	 * @return the requests refused
+	 * @return the refusals
 	 */
-	List<AdmissionDecision> expire(int room, Instant now) {
+	List<AdmissionDecision> expire(int freeSlots, Instant now) {
 		List<AdmissionDecision> refused = new ArrayList<>();
 		for (AccountQueue account : List.copyOf(this.waitingAccounts)) {
 			while (!account.waiting().isEmpty() && !now.isBefore(account.waiting().peekFirst().request().deadline())) {
 				AdmissionRequest request = account.waiting().removeFirst().request();
-				forgetWaiting(account, request);
-				refused.add(refuse(request, room, expectedWait(request, room)));
+				removeWaiting(account, request);
+				refused.add(refuse(request, freeSlots, expectedWait(request, freeSlots)));
 			}
 		}
 		return refused;
 	}
 
 	void release(RequestId request, Instant now) {
-		Running held = this.running.remove(request);
-		if (held == null) {
+		Running ended = this.running.remove(request);
+		if (ended == null) {
 			return;
 		}
-		double seconds = seconds(held.since(), now);
-		this.meanHoldSeconds = ((this.meanHoldSeconds == 0) ? seconds
-				: this.meanHoldSeconds + MEAN_WEIGHT * (seconds - this.meanHoldSeconds));
-		held.account().release();
-		forgetIfIdle(held.account());
+		double seconds = seconds(ended.admittedAt(), now);
+		this.meanRunSeconds = ((this.meanRunSeconds == 0) ? seconds
+				: this.meanRunSeconds + MEAN_WEIGHT * (seconds - this.meanRunSeconds));
+		ended.account().release();
+		removeIfIdle(ended.account());
 	}
 
 	void cancel(RequestId id) {
@@ -149,27 +157,27 @@
 			return;
 		}
 		AccountQueue account = account(request.account());
-		account.waiting().removeIf((waiter) -> waiter.request().equals(request));
-		forgetWaiting(account, request);
+		account.waiting().removeIf((waitingRequest) -> waitingRequest.request().equals(request));
+		removeWaiting(account, request);
 	}
 
-	private AdmissionDecision startNext(int capacity, Instant now) {
-		AccountQueue account = next(capacity);
-		AccountQueue.Waiting waiter = account.waiting().removeFirst();
-		AdmissionRequest request = waiter.request();
-		account.observeWait(seconds(waiter.since(), now), waiter.place());
+	private AdmissionDecision admitNext(int capacity, Instant now) {
+		AccountQueue account = nextAccount(capacity);
+		AccountQueue.WaitingRequest waitingRequest = account.waiting().removeFirst();
+		AdmissionRequest request = waitingRequest.request();
+		account.observeWait(seconds(waitingRequest.arrivedAt(), now), waitingRequest.position());
 		this.waitingAccounts.remove(account);
 		this.waiting.remove(request.request());
-		this.virtualTime = Math.max(this.virtualTime, account.tag());
-		AdmissionDecision decision = start(account, request, now);
+		this.virtualTime = Math.max(this.virtualTime, account.startTag());
+		AdmissionDecision decision = admit(account, request, now);
 		if (!account.waiting().isEmpty()) {
 			this.waitingAccounts.add(account);
 		}
-		noteEmpty();
+		clearWaitingSinceIfEmpty();
 		return decision;
 	}
 
-	private AccountQueue next(int capacity) {
+	private AccountQueue nextAccount(int capacity) {
 		AccountQueue first = this.waitingAccounts.first();
 		if (this.waitingAccounts.size() == 1 || isWithinShare(first, capacity)) {
 			return first;
@@ -179,91 +187,96 @@
 				return account;
 			}
 		}
-		// All that wait are over their share: leaving capacity idle would help nobody.
+		// All waiting accounts exceed their share. Refusing to serve them would only
+		// leave capacity idle.
 		return first;
 	}
 
-	private AdmissionDecision start(AccountQueue account, AdmissionRequest request, Instant now) {
+	private AdmissionDecision admit(AccountQueue account, AdmissionRequest request, Instant now) {
 		Running previous = this.running.put(request.request(), new Running(account, now));
-		Invariant.check(previous == null, "request %s let in twice", request.request());
-		account.start(request);
+		Invariant.check(previous == null, "request %s admitted twice", request.request());
+		account.admit(request);
 		return new AdmissionDecision.Admitted(request.request());
 	}
 
 	private void enqueue(AdmissionRequest request, Instant now) {
 		AccountQueue account = account(request.account());
 		if (account.waiting().isEmpty()) {
-			account.catchUp(this.virtualTime);
+			account.advanceTo(this.virtualTime);
 			this.waitingAccounts.add(account);
 		}
-		account.waiting().addLast(new AccountQueue.Waiting(request, now, account.waiting().size() + 1));
+		account.waiting().addLast(new AccountQueue.WaitingRequest(request, now, account.waiting().size() + 1));
 		this.waiting.put(request.request(), request);
 		if (this.waitingSince == null) {
 			this.waitingSince = now;
 		}
 	}
 
-	private AdmissionDecision.Refused refuse(AdmissionRequest request, int room, double excessSeconds) {
-		double retryAfter = Math.max(SHORTEST_RETRY_SECONDS, Math.max(excessSeconds, secondsPerRelease(room)));
+	private AdmissionDecision.Refused refuse(AdmissionRequest request, int freeSlots, double excessSeconds) {
+		double retryAfter = Math.max(MINIMUM_RETRY_AFTER_SECONDS,
+				Math.max(excessSeconds, secondsPerRelease(freeSlots)));
 		AccountQueue account = account(request.account());
 		boolean othersWait = this.waitingAccounts.size() > (account.waiting().isEmpty() ? 0 : 1);
-		boolean overShare = !isWithinShare(account, request, this.running.size() + Math.max(0, room));
-		forgetIfIdle(account);
+		boolean overShare = !isWithinShare(account, request, this.running.size() + Math.max(0, freeSlots));
+		removeIfIdle(account);
 		ErrorKind kind = ((othersWait && overShare) ? ErrorKind.ACCOUNT_OVER_LIMIT : ErrorKind.OVERLOADED);
 		return new AdmissionDecision.Refused(request.request(), kind, duration(retryAfter));
 	}
 
-	private double expectedWait(AdmissionRequest request, int room) {
-		// Predicts the wait: by the account's own queue and its part of the releases,
-		// at most by everything that waits.
+	private double expectedWait(AdmissionRequest request, int freeSlots) {
+		// Predicts the wait from the account's queue and its share of the releases,
+		// bounded by the number of all waiting requests.
 		AccountQueue account = this.accounts.get(request.account());
-		int own = ((account != null) ? account.waiting().size() : 0);
-		if (account != null && account.secondsPerPlace() > 0 && own > 0) {
-			return (own + 1) * account.secondsPerPlace();
+		int ownWaiting = ((account != null) ? account.waiting().size() : 0);
+		if (account != null && account.secondsPerPosition() > 0 && ownWaiting > 0) {
+			return (ownWaiting + 1) * account.secondsPerPosition();
 		}
-		int competing = this.waitingAccounts.size() + ((own == 0) ? 1 : 0);
-		double tag = ((account != null) ? Math.max(account.tag(), this.virtualTime) : this.virtualTime);
-		double ahead = 1.0 + (double) own * competing + waitingBefore(tag);
-		return Math.min(this.waiting.size() + 1.0, ahead) * secondsPerRelease(room);
+		int competingAccounts = this.waitingAccounts.size() + ((ownWaiting == 0) ? 1 : 0);
+		double startTag = ((account != null) ? Math.max(account.startTag(), this.virtualTime) : this.virtualTime);
+		double requestsAhead = 1.0 + (double) ownWaiting * competingAccounts + accountsAhead(startTag);
+		return Math.min(this.waiting.size() + 1.0, requestsAhead) * secondsPerRelease(freeSlots);
 	}
 
-	private int waitingBefore(double tag) {
-		int before = 0;
+	private int accountsAhead(double startTag) {
+		int accountsAhead = 0;
 		for (AccountQueue account : this.waitingAccounts) {
-			if (account.tag() >= tag || before == MOST_COUNTED) {
-				return before;
+			if (account.startTag() >= startTag || accountsAhead == MAXIMUM_COUNTED_ACCOUNTS) {
+				return accountsAhead;
 			}
-			before++;
+			accountsAhead++;
 		}
-		return before;
+		return accountsAhead;
 	}
 
-	private double secondsPerRelease(int room) {
-		int capacity = Math.max(1, this.running.size() + Math.max(0, room));
-		return this.meanHoldSeconds / capacity;
+	private double secondsPerRelease(int freeSlots) {
+		int capacity = Math.max(1, this.running.size() + Math.max(0, freeSlots));
+		return this.meanRunSeconds / capacity;
 	}
 
-	private double longestWait(AdmissionRequest request, Duration firstToken, Instant now) {
-		// Bounds the wait by what the target leaves beside the first token, and more
-		// tightly while an overload lasts. Bounded by the deadline, a burst filled a
-		// queue whose answers were all late (up to 25 s at three times the load), and the
-		// next burst came as soon as it was empty. While the limits are still being found
-		// the wait is predicted too long, so a burst may wait to the deadline.
-		double left = seconds(now, request.deadline()) - this.meanHoldSeconds;
+	private double maximumWait(AdmissionRequest request, Duration meanFirstToken, Instant now) {
+		// Bounds the wait by the part of the target not needed for the first token, and
+		// more tightly during sustained overload. If only the deadline bounded the wait,
+		// a burst would fill a queue whose answers are all late (up to 25 s at three
+		// times the load), and the next burst would refill it once it is empty. During
+		// slow start the predicted wait is too long, so a burst may wait until the
+		// deadline.
+		double untilDeadline = seconds(now, request.deadline()) - this.meanRunSeconds;
 		Instant since = this.waitingSince;
 		Duration target = request.profile().firstTokenTarget();
-		boolean lasts = since != null && since.plus(target).isBefore(now);
-		if (!lasts && !this.capacityKnown) {
-			return left;
+		boolean sustained = since != null && since.plus(target).isBefore(now);
+		if (!sustained && !this.capacityKnown) {
+			return untilDeadline;
 		}
-		double targetSeconds = target.toNanos() / NANOS;
-		double spare = targetSeconds * TARGET_SHARE - firstToken.toNanos() / NANOS;
-		double most = targetSeconds * (lasts ? OVERLOAD_WAIT_SHARE : TARGET_SHARE);
-		return Math.min(left, Math.clamp(spare, targetSeconds * LEAST_WAIT_SHARE, most));
+		double targetSeconds = target.toNanos() / NANOS_PER_SECOND;
+		double availableSeconds = targetSeconds * FIRST_TOKEN_TARGET_SHARE
+				- meanFirstToken.toNanos() / NANOS_PER_SECOND;
+		double maximumSeconds = targetSeconds * (sustained ? OVERLOAD_WAIT_TARGET_SHARE : FIRST_TOKEN_TARGET_SHARE);
+		return Math.min(untilDeadline,
+				Math.clamp(availableSeconds, targetSeconds * MINIMUM_WAIT_TARGET_SHARE, maximumSeconds));
 	}
 
 	private boolean isWithinShare(AccountQueue account, int capacity) {
-		AccountQueue.Waiting head = account.waiting().peekFirst();
+		AccountQueue.WaitingRequest head = account.waiting().peekFirst();
 		return head == null || isWithinShare(account, head.request(), capacity);
 	}
 
@@ -275,36 +288,36 @@
 		return this.accounts.computeIfAbsent(name, AccountQueue::new);
 	}
 
-	private void forgetWaiting(AccountQueue account, AdmissionRequest request) {
+	private void removeWaiting(AccountQueue account, AdmissionRequest request) {
 		this.waiting.remove(request.request());
 		if (account.waiting().isEmpty()) {
 			this.waitingAccounts.remove(account);
 		}
-		forgetIfIdle(account);
-		noteEmpty();
+		removeIfIdle(account);
+		clearWaitingSinceIfEmpty();
 	}
 
-	private void forgetIfIdle(AccountQueue account) {
+	private void removeIfIdle(AccountQueue account) {
 		if (account.isIdle()) {
 			this.accounts.remove(account.account());
 		}
 	}
 
-	private void noteEmpty() {
+	private void clearWaitingSinceIfEmpty() {
 		if (this.waiting.isEmpty()) {
 			this.waitingSince = null;
 		}
 	}
 
 	private static double seconds(Instant from, Instant to) {
-		return Duration.between(from, to).toNanos() / NANOS;
+		return Duration.between(from, to).toNanos() / NANOS_PER_SECOND;
 	}
 
 	private static Duration duration(double seconds) {
-		return Duration.ofNanos(Math.round(Math.max(0, seconds) * NANOS));
+		return Duration.ofNanos(Math.round(Math.max(0, seconds) * NANOS_PER_SECOND));
 	}
 
-	private record Running(AccountQueue account, Instant since) {
+	private record Running(AccountQueue account, Instant admittedAt) {
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/admission/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What is let in, what waits and what is answered at once when endpoints are busy.
+ * Admission control: admits, queues or refuses requests when endpoints are busy.
  * <p>
- * Everything here is pure and runs on the one thread of the tick loop.
+ * All classes are free of I/O and run on the single thread of the tick loop.
  */
 @NullMarked
 package org.banyancove.core.admission;
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/RetryBudget.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/RetryBudget.java
@@ -3,26 +3,29 @@
 import org.banyancove.core.Invariant;
 
 /**
- * How many retries a service may still make: a part of one for each first attempt.
+ * The retry budget of a service: each first attempt earns a fraction of a retry.
  * <p>
- * When endpoints fail because they are overloaded, retries add to the load that makes
- * them fail. The budget ties retries to first attempts, so that the load is at most
- * {@code 1 + ratio} times what the callers send, plus the small reserve. Belongs to the
- * tick loop; not safe for use by several threads.
+ * When endpoints fail due to overload, retries increase that load. The budget bounds
+ * retries in proportion to first attempts, so that the load is at most {@code 1 + ratio}
+ * times the load of the callers, plus the small reserve. Confined to the tick loop; not
+ * thread-safe.
  */
 public final class RetryBudget {
 
-	/** Lets the first requests after a start be retried. */
-	private static final double RESERVE = 3;
+	/** Allows retries of the first requests after a start. */
+	private static final double INITIAL_RETRIES = 3;
 
-	/** Saved retries go out at once when a zone fails; more would be a burst of load. */
-	private static final double MOST_SAVED = 50;
+	/**
+	 * Available retries are all used immediately when a zone fails; a higher bound would
+	 * allow a burst of load.
+	 */
+	private static final double MAXIMUM_AVAILABLE_RETRIES = 50;
 
 	private double ratio;
 
-	private double mostSaved;
+	private double maximumAvailable;
 
-	private double tokens;
+	private double available;
 
 	private long firstAttempts;
 
@@ -36,58 +39,59 @@
 	 * @throws IllegalArgumentException if {@code ratio} is out of its range
 	 */
 	public RetryBudget(double ratio) {
-		this(ratio, RESERVE, MOST_SAVED);
+		this(ratio, INITIAL_RETRIES, MAXIMUM_AVAILABLE_RETRIES);
 	}
 
 	/**
-	 * Creates the budget with a reserve of its own.
+	 * Creates the budget with the given reserve.
 	 * @param ratio the retries for each first attempt, from 0 to 1
-	 * @param reserve the retries that can be made before any first attempt
-	 * @param mostSaved the most retries that can be saved up
+	 * @param reserve the number of retries available before the first attempt
+	 * @param maximumAvailable the maximum number of available retries
 	 * @throws IllegalArgumentException if {@code ratio} is out of its range
 	 */
-	public RetryBudget(double ratio, double reserve, double mostSaved) {
-		this.ratio = checked(ratio);
-		this.mostSaved = mostSaved;
-		this.tokens = reserve;
+	public RetryBudget(double ratio, double reserve, double maximumAvailable) {
+		this.ratio = requireRatio(ratio);
+		this.maximumAvailable = maximumAvailable;
+		this.available = reserve;
 		this.earned = reserve;
 	}
 
 	/**
-	 * Changes the most retries that can be saved up; what was saved beyond it is lost.
-	 * @param newMost the most retries
+	 * Changes the maximum number of available retries; retries beyond it are discarded.
+	 * @param newMaximum the maximum number of retries
 	 */
-	public void changeMostSaved(double newMost) {
-		this.mostSaved = newMost;
-		this.tokens = Math.min(this.tokens, newMost);
+	public void changeMostSaved(double newMaximum) {
+		this.maximumAvailable = newMaximum;
+		this.available = Math.min(this.available, newMaximum);
 	}
 
 	/**
-	 * Changes the ratio for attempts from now on.
+	 * Changes the ratio for subsequent attempts.
 	 * @param newRatio the retries for each first attempt, from 0 to 1
 	 */
 	public void changeRatio(double newRatio) {
-		this.ratio = checked(newRatio);
+		this.ratio = requireRatio(newRatio);
 	}
 
 	/**
-	 * Notes a first attempt, which earns a part of a retry.
+	 * Records a first attempt, which earns a fraction of a retry.
 	 */
 	public void firstAttempt() {
 		this.firstAttempts++;
 		this.earned += this.ratio;
-		this.tokens = Math.min(this.mostSaved, this.tokens + this.ratio);
+		this.available = Math.min(this.maximumAvailable, this.available + this.ratio);
 	}
 
 	/**
-	 * Takes one retry out of the budget.
-	 * @return whether the budget had one; if not, the request is given up
+	 * Consumes one retry if available.
+	 * @return {@code true} if a retry was available; otherwise the request must not be
+	 * retried
 	 */
 	public boolean tryRetry() {
-		if (this.tokens < 1) {
+		if (this.available < 1) {
 			return false;
 		}
-		this.tokens--;
+		this.available--;
 		this.retries++;
 		Invariant.check(this.retries <= this.earned + 1e-6, "%s retries after %s first attempts, which earned %s",
 				this.retries, this.firstAttempts, this.earned);
@@ -95,15 +99,15 @@
 	}
 
 	/**
-	 * Returns the retries that can be made at once.
-	 * @return the retries left, with fractions
+	 * Returns the number of available retries.
+	 * @return the number of retries, possibly fractional
 	 */
 	public double left() {
-		return this.tokens;
+		return this.available;
 	}
 
 	/**
-	 * Returns the first attempts noted.
+	 * Returns the number of recorded first attempts.
 	 * @return the number of first attempts
 	 */
 	public long firstAttempts() {
@@ -111,14 +115,14 @@
 	}
 
 	/**
-	 * Returns the retries made.
+	 * Returns the number of consumed retries.
 	 * @return the number of retries
 	 */
 	public long retries() {
 		return this.retries;
 	}
 
-	private static double checked(double ratio) {
+	private static double requireRatio(double ratio) {
 		if (!(ratio >= 0 && ratio <= 1)) {
 			throw new IllegalArgumentException("ratio must be from 0 to 1: " + ratio);
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/RetryDecision.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/RetryDecision.java
@@ -7,23 +7,23 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Whether a failed attempt is followed by another one.
+ * The decision on whether a failed attempt is retried.
  */
 public sealed interface RetryDecision {
 
 	/**
-	 * Another attempt is made.
+	 * The request is retried.
 	 *
-	 * @param excluded the endpoints that must not get it
+	 * @param excluded the endpoints that must not receive it
 	 */
 	record Retry(Set<EndpointId> excluded) implements RetryDecision {
 	}
 
 	/**
-	 * The request is given up and answered at once.
+	 * The request fails immediately without another attempt.
 	 *
-	 * @param kind the kind of error to answer with
-	 * @param retryAfter when to come back, computed from the budget
+	 * @param kind the kind of error to return
+	 * @param retryAfter the retry delay, computed from the budget
 	 */
 	record GiveUp(ErrorKind kind, Duration retryAfter) implements RetryDecision {
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/RetryRequest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/RetryRequest.java
@@ -12,14 +12,14 @@
  *
  * @param service the service
  * @param profile the profile under which it was accepted
- * @param mayRepeat whether running the call again does no harm
- * @param provedNotRun whether it is certain that the endpoint did not run the attempt
- * @param endpointLost whether the endpoint vanished with all that ran there
+ * @param repeatable whether the call may safely run again
+ * @param knownNotRun whether the endpoint is known not to have run the attempt
+ * @param endpointLost whether the endpoint was lost together with all running attempts
  * @param failedAt all endpoints that failed the request
- * @param attempts the attempts made, at least 1
+ * @param attempts the number of attempts made, at least 1
  * @param acceptedAt when the request was accepted
  */
-public record RetryRequest(ServiceName service, Profile profile, boolean mayRepeat, boolean provedNotRun,
+public record RetryRequest(ServiceName service, Profile profile, boolean repeatable, boolean knownNotRun,
 		boolean endpointLost, Set<EndpointId> failedAt, int attempts, Instant acceptedAt) {
 
 	/**
@@ -34,22 +34,22 @@
 	}
 
 	/**
-	 * Creates the request for an endpoint that lives on.
+	 * Creates the request for an endpoint that is still available.
 	 * @param service the service
 	 * @param profile the profile under which it was accepted
-	 * @param mayRepeat whether running the call again does no harm
-	 * @param provedNotRun whether it is certain that the endpoint did not run the attempt
+	 * @param repeatable whether the call may safely run again
+	 * @param knownNotRun whether the endpoint is known not to have run the attempt
 	 * @param failedAt all endpoints that failed the request
-	 * @param attempts the attempts made, at least 1
+	 * @param attempts the number of attempts made, at least 1
 	 * @param acceptedAt when the request was accepted
 	 */
-	public RetryRequest(ServiceName service, Profile profile, boolean mayRepeat, boolean provedNotRun,
+	public RetryRequest(ServiceName service, Profile profile, boolean repeatable, boolean knownNotRun,
 			Set<EndpointId> failedAt, int attempts, Instant acceptedAt) {
-		this(service, profile, mayRepeat, provedNotRun, false, failedAt, attempts, acceptedAt);
+		this(service, profile, repeatable, knownNotRun, false, failedAt, attempts, acceptedAt);
 	}
 
 	boolean isSafe() {
-		return this.mayRepeat || this.provedNotRun;
+		return this.repeatable || this.knownNotRun;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/RetryRule.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/RetryRule.java
@@ -12,19 +12,23 @@
 import org.banyancove.core.profile.Profile;
 
 /**
- * Decides whether a failed attempt is followed by another one: only where it is safe, in
- * time, within the service's budget, and never at an endpoint that failed the request.
+ * Decides whether a failed attempt is retried: only if a retry is safe, before the
+ * deadline and within the service's budget, and never at an endpoint that failed the
+ * request.
  * <p>
- * Moving a request off an endpoint that leaves is not a retry and takes nothing out of
- * the budget: accepted work survives an announced reclaim, and the endpoint it leaves no
- * longer carries it. Belongs to the tick loop; not safe for use by several threads.
+ * Moving a request away from a leaving endpoint is not a retry and does not consume the
+ * budget: accepted work survives an announced reclaim, and the leaving endpoint no longer
+ * bears the load. Confined to the tick loop; not thread-safe.
  */
 public final class RetryRule {
 
-	/** With more, one request that no endpoint can serve would tie up many of them. */
-	private static final int MOST_ATTEMPTS = 3;
+	/**
+	 * With more attempts, a request that no endpoint can serve would occupy many
+	 * endpoints.
+	 */
+	private static final int MAXIMUM_ATTEMPTS = 3;
 
-	private static final Duration SHORTEST_RETRY = Duration.ofMillis(100);
+	private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(100);
 
 	private final InstantSource clock;
 
@@ -39,7 +43,7 @@
 	}
 
 	/**
-	 * Notes a request's first attempt, which earns a part of a retry.
+	 * Records a request's first attempt, which earns a fraction of a retry.
 	 * @param service the service
 	 * @param profile the profile under which the request was accepted
 	 */
@@ -48,20 +52,20 @@
 	}
 
 	/**
-	 * Decides after a failed attempt.
+	 * Decides whether to retry after a failed attempt.
 	 * @param request the request whose attempt failed
-	 * @return whether another attempt is made
+	 * @return the decision
 	 */
 	public RetryDecision decide(RetryRequest request) {
 		Instant now = this.clock.instant();
 		ServiceBudget budget = budget(request.service(), request.profile());
 		Duration deadline = request.profile().deadline();
 		if (!request.isSafe()) {
-			return new RetryDecision.GiveUp(ErrorKind.OUTCOME_UNKNOWN, budget.untilNext(deadline));
+			return new RetryDecision.GiveUp(ErrorKind.OUTCOME_UNKNOWN, budget.timeUntilNextRetry(deadline));
 		}
-		boolean late = !now.isBefore(request.acceptedAt().plus(deadline));
-		if (late || request.attempts() >= MOST_ATTEMPTS || !isPaidFor(request, budget)) {
-			return new RetryDecision.GiveUp(ErrorKind.ENDPOINT_FAILED, budget.untilNext(deadline));
+		boolean deadlineExpired = !now.isBefore(request.acceptedAt().plus(deadline));
+		if (deadlineExpired || request.attempts() >= MAXIMUM_ATTEMPTS || !isWithinBudget(request, budget)) {
+			return new RetryDecision.GiveUp(ErrorKind.ENDPOINT_FAILED, budget.timeUntilNextRetry(deadline));
 		}
 		return new RetryDecision.Retry(request.failedAt());
 	}
@@ -69,13 +73,13 @@
 	/**
 	 * Returns a service's budget.
 	 * @param service the service
-	 * @return the budget, empty if the service made no attempt yet
+	 * @return the budget, empty before the service's first attempt
 	 */
 	public Optional<RetryBudget> budget(ServiceName service) {
 		return Optional.ofNullable(this.budgets.get(service)).map((budget) -> budget.budget);
 	}
 
-	private static boolean isPaidFor(RetryRequest request, ServiceBudget budget) {
+	private static boolean isWithinBudget(RetryRequest request, ServiceBudget budget) {
 		return request.endpointLost() || budget.tryRetry();
 	}
 
@@ -86,7 +90,7 @@
 	}
 
 	/**
-	 * A budget and how fast it fills.
+	 * A budget and the rate at which it is replenished.
 	 */
 	private static final class ServiceBudget {
 
@@ -124,18 +128,20 @@
 		}
 
 		/**
-		 * Returns how long the budget takes to earn the next retry.
-		 * @param longest the longest answer
-		 * @return the time, short if there is a retry left
+		 * Returns the time until the budget has earned the next retry.
+		 * @param maximum the maximum time to return
+		 * @return the time, or the mean interval of first attempts if a retry is
+		 * available; at least the minimum retry delay
 		 */
-		Duration untilNext(Duration longest) {
-			double missing = Math.max(0, 1 - this.budget.left());
-			double nanos = ((missing == 0) ? this.meanIntervalNanos : missing * this.meanIntervalNanos / this.ratio);
-			Duration shortest = ((longest.compareTo(SHORTEST_RETRY) < 0) ? longest : SHORTEST_RETRY);
-			if (!(nanos < longest.toNanos())) {
-				return longest;
+		Duration timeUntilNextRetry(Duration maximum) {
+			double missingRetries = Math.max(0, 1 - this.budget.left());
+			double nanos = ((missingRetries == 0) ? this.meanIntervalNanos
+					: missingRetries * this.meanIntervalNanos / this.ratio);
+			Duration minimum = ((maximum.compareTo(MINIMUM_RETRY_AFTER) < 0) ? maximum : MINIMUM_RETRY_AFTER);
+			if (!(nanos < maximum.toNanos())) {
+				return maximum;
 			}
-			return Duration.ofNanos(Math.max(shortest.toNanos(), Math.round(nanos)));
+			return Duration.ofNanos(Math.max(minimum.toNanos(), Math.round(nanos)));
 		}
 
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/package-info.java
@@ -1,7 +1,7 @@
 /**
- * When a failed attempt may be followed by another one.
+ * Retry decisions and retry budgets for failed attempts.
  * <p>
- * Everything here is pure and runs on the one thread of the tick loop.
+ * All classes are free of I/O and run on the single thread of the tick loop.
  */
 @NullMarked
 package org.banyancove.core.retry;
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/Attempt.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/Attempt.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.routing;
 
 /**
- * One attempt of one request at one endpoint, while it runs.
+ * A running attempt of a request at an endpoint. Times are in seconds.
  */
 final class Attempt {
 
@@ -13,7 +13,7 @@
 
 	private final double concurrency;
 
-	private final int own;
+	private final int ownInFlight;
 
 	private final double firstTokenTarget;
 
@@ -21,17 +21,17 @@
 
 	private double firstTokenAt = Double.NaN;
 
-	private int tokens;
+	private int tokenCount;
 
 	private double lastTokenAt;
 
-	Attempt(double startedAt, double uncachedTokens, double workTokens, double concurrency, int own,
+	Attempt(double startedAt, double uncachedTokens, double workTokens, double concurrency, int ownInFlight,
 			double firstTokenTarget, double tokenTarget) {
 		this.startedAt = startedAt;
 		this.uncachedTokens = uncachedTokens;
 		this.workTokens = workTokens;
 		this.concurrency = concurrency;
-		this.own = own;
+		this.ownInFlight = ownInFlight;
 		this.firstTokenTarget = firstTokenTarget;
 		this.tokenTarget = tokenTarget;
 	}
@@ -40,13 +40,13 @@
 		return Double.isNaN(this.firstTokenAt);
 	}
 
-	void firstToken(double now) {
+	void recordFirstToken(double now) {
 		this.firstTokenAt = now;
 		this.lastTokenAt = now;
 	}
 
-	void tokens(int count, double now) {
-		this.tokens += count;
+	void recordTokens(int count, double now) {
+		this.tokenCount += count;
 		this.lastTokenAt = now;
 	}
 
@@ -67,19 +67,20 @@
 	}
 
 	/**
-	 * Returns how many attempts of this entry the endpoint had, this one included.
+	 * Returns the number of this entry's attempts at the endpoint when this one started,
+	 * including this one.
 	 * @return the number of attempts
 	 */
-	int own() {
-		return this.own;
+	int ownInFlight() {
+		return this.ownInFlight;
 	}
 
 	/**
-	 * Returns which part of the endpoint's requests was this entry's.
+	 * Returns the share of the endpoint's requests that were sent by this entry.
 	 * @return the share, at most 1
 	 */
 	double ownShare() {
-		return Math.min(1, this.own / this.concurrency);
+		return Math.min(1, this.ownInFlight / this.concurrency);
 	}
 
 	double firstTokenTarget() {
@@ -91,11 +92,11 @@
 	}
 
 	int tokenCount() {
-		return this.tokens;
+		return this.tokenCount;
 	}
 
 	double secondsPerToken() {
-		return (this.lastTokenAt - this.firstTokenAt) / this.tokens;
+		return (this.lastTokenAt - this.firstTokenAt) / this.tokenCount;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/AttemptOutcome.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/AttemptOutcome.java
@@ -1,39 +1,39 @@
 package org.banyancove.core.routing;
 
 /**
- * How an attempt at an endpoint ended.
+ * The outcome of an attempt at an endpoint.
  */
 public enum AttemptOutcome {
 
-	/** The whole answer came. */
+	/** The complete answer was received. */
 	COMPLETED,
 
-	/** This entry or the caller gave the attempt up; the endpoint is not to blame. */
+	/** This entry or the caller cancelled the attempt; the endpoint did not fail. */
 	CANCELLED,
 
-	/** The endpoint refused the attempt before running it, mostly for overload. */
+	/** The endpoint rejected the attempt before running it, usually due to overload. */
 	REFUSED,
 
-	/** The endpoint answered with an error, or its answer broke off. */
+	/** The endpoint answered with an error or an incomplete answer. */
 	FAILED,
 
-	/** The endpoint was silent for too long. */
+	/** The endpoint did not answer in time. */
 	TIMED_OUT,
 
-	/** The endpoint's process or VM vanished while the attempt ran. */
+	/** The endpoint's process or VM ended while the attempt was running. */
 	LOST;
 
 	/**
-	 * Returns whether the outcome tells that the endpoint was overloaded.
-	 * @return whether it does
+	 * Returns whether the outcome indicates that the endpoint is overloaded.
+	 * @return {@code true} if it does
 	 */
-	public boolean isOverloadSign() {
+	public boolean indicatesOverload() {
 		return this == REFUSED || this == TIMED_OUT;
 	}
 
 	/**
 	 * Returns whether the endpoint failed the attempt.
-	 * @return whether it did
+	 * @return {@code true} if it did
 	 */
 	public boolean isFailure() {
 		return this != COMPLETED && this != CANCELLED;
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/CacheChange.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/CacheChange.java
@@ -1,23 +1,24 @@
 package org.banyancove.core.routing;
 
 /**
- * One of an engine's cache events. They come late and with gaps in their sequence.
+ * A cache event of an engine. Events arrive late and may be lost.
  *
- * @param sequence the event's number at its engine; a skipped number is a lost event
- * @param kind what happened
- * @param prefix the prefix that it happened to
+ * @param sequence the engine's sequence number of the event; a gap means that events were
+ * lost
+ * @param kind the kind of change
+ * @param prefix the affected prefix
  */
 public record CacheChange(long sequence, Kind kind, PromptPrefix prefix) {
 
 	/**
-	 * What happened to a prefix.
+	 * The kind of change to a prefix.
 	 */
 	public enum Kind {
 
-		/** The engine holds the prefix from now on. */
+		/** The engine has stored the prefix. */
 		STORED,
 
-		/** The engine no longer holds the prefix. */
+		/** The engine has evicted the prefix. */
 		EVICTED
 
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/CandidateSelector.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/CandidateSelector.java
@@ -5,19 +5,20 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * Picks the endpoints that a placement weighs, so that its cost does not grow with the
+ * Selects the candidate endpoints of a placement, so that its cost does not grow with the
  * number of endpoints.
  * <p>
- * A small service is weighed whole. Of a large one: those that hold a prefix of the
- * prompt, some of each price in the preferred data center, and some from anywhere.
+ * All endpoints of a small service are candidates. For a large service, the candidates
+ * are the endpoints that hold a prefix of the prompt, a sample at each price in the
+ * preferred data center, and a sample of all endpoints.
  */
 final class CandidateSelector {
 
-	private static final int DRAWN_OF_A_POOL = 6;
+	private static final int POOL_SAMPLE_SIZE = 6;
 
-	private static final int DRAWN_NEARBY = 36;
+	private static final int LOCAL_SAMPLE_SIZE = 36;
 
-	private static final int DRAWN_ANYWHERE = 8;
+	private static final int GLOBAL_SAMPLE_SIZE = 8;
 
 	private final RandomGenerator random;
 
@@ -27,39 +28,39 @@
 
 	void add(PlacementRequest request, ServiceEndpoints endpoints, Candidates candidates) {
 		endpoints.prefixes().addHolders(request.prefixes(), candidates);
-		if (endpoints.live().size() > Candidates.MOST) {
-			request.dataCenter().ifPresent((dataCenter) -> addNearby(dataCenter, endpoints, candidates));
+		if (endpoints.live().size() > Candidates.MAXIMUM_SIZE) {
+			request.dataCenter().ifPresent((dataCenter) -> addLocal(dataCenter, endpoints, candidates));
 		}
-		addAnywhere(endpoints.live(), candidates);
+		addGlobal(endpoints.live(), candidates);
 	}
 
-	void addAnywhere(EndpointGroup live, Candidates candidates) {
-		if (live.size() <= Candidates.MOST) {
+	void addGlobal(EndpointGroup live, Candidates candidates) {
+		if (live.size() <= Candidates.MAXIMUM_SIZE) {
 			for (int i = 0; i < live.size(); i++) {
 				candidates.add(live.get(i), 0);
 			}
 			return;
 		}
-		draw(live, DRAWN_ANYWHERE, candidates);
+		sample(live, GLOBAL_SAMPLE_SIZE, candidates);
 		if (candidates.isEmpty()) {
-			draw(live, Candidates.MOST, candidates);
+			sample(live, Candidates.MAXIMUM_SIZE, candidates);
 		}
 	}
 
-	private void addNearby(DataCenterName dataCenter, ServiceEndpoints endpoints, Candidates candidates) {
+	private void addLocal(DataCenterName dataCenter, ServiceEndpoints endpoints, Candidates candidates) {
 		int before = candidates.size();
 		for (EndpointPool pool : endpoints.poolsOf(dataCenter)) {
-			if (candidates.size() - before >= DRAWN_NEARBY) {
+			if (candidates.size() - before >= LOCAL_SAMPLE_SIZE) {
 				return;
 			}
-			draw(pool.endpoints(), DRAWN_OF_A_POOL, candidates);
+			sample(pool.endpoints(), POOL_SAMPLE_SIZE, candidates);
 		}
 	}
 
-	private void draw(EndpointGroup group, int count, Candidates candidates) {
+	private void sample(EndpointGroup group, int count, Candidates candidates) {
 		int start = this.random.nextInt(group.size());
-		int drawn = Math.min(count, group.size());
-		for (int step = 0; step < drawn; step++) {
+		int sampleSize = Math.min(count, group.size());
+		for (int step = 0; step < sampleSize; step++) {
 			candidates.add(group.get((start + step) % group.size()), 0);
 		}
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/Candidates.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/Candidates.java
@@ -5,17 +5,17 @@
 import org.banyancove.core.EndpointId;
 
 /**
- * The endpoints that one placement weighs, with the prompt tokens each is thought to
- * hold. One for all policies, reused from one placement to the next: it stamps the
- * endpoints that it holds, to know them without a search.
+ * The candidate endpoints of a placement, with the estimated number of prompt tokens that
+ * each has cached. One instance is shared by all policies and reused by each placement.
+ * Endpoints are stamped when they are added, to detect duplicates without a search.
  */
 final class Candidates {
 
-	static final int MOST = 64;
+	static final int MAXIMUM_SIZE = 64;
 
-	private final Endpoint[] endpoints = new Endpoint[MOST];
+	private final Endpoint[] endpoints = new Endpoint[MAXIMUM_SIZE];
 
-	private final double[] cachedTokens = new double[MOST];
+	private final double[] cachedTokens = new double[MAXIMUM_SIZE];
 
 	private Set<EndpointId> excluded = Set.of();
 
@@ -30,9 +30,9 @@
 	}
 
 	/**
-	 * Adds an endpoint unless it may not be given work or is there already.
+	 * Adds an endpoint unless it is not live, excluded or already present.
 	 * @param endpoint the endpoint
-	 * @param cached the prompt tokens that it is thought to hold
+	 * @param cached the estimated number of prompt tokens that it has cached
 	 */
 	void add(Endpoint endpoint, double cached) {
 		if (isFull() || !endpoint.isLive() || this.excluded.contains(endpoint.id()) || !endpoint.stamp(this.stamp)) {
@@ -44,7 +44,7 @@
 	}
 
 	boolean isFull() {
-		return this.size == MOST;
+		return this.size == MAXIMUM_SIZE;
 	}
 
 	boolean isEmpty() {
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/Choice.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/Choice.java
@@ -1,10 +1,10 @@
 package org.banyancove.core.routing;
 
 /**
- * A policy's choice.
+ * The choice of a placement policy.
  *
  * @param endpoint the endpoint
- * @param cachedTokens the prompt tokens that it is thought to hold
+ * @param cachedTokens the estimated number of prompt tokens that it has cached
  */
 record Choice(Endpoint endpoint, double cachedTokens) {
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/ConcurrencyLimit.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/ConcurrencyLimit.java
@@ -1,42 +1,43 @@
 package org.banyancove.core.routing;
 
 /**
- * How many of this entry's requests an endpoint should have at once, found out by trying.
+ * Adaptive limit on the number of this entry's concurrent requests at an endpoint.
  * <p>
- * A limit of all requests, the other entries' included, locks an entry out: others whose
- * limits are higher fill the endpoint, and it never sends what would show it that more
- * fits. With a limit of its own each entry gets its part, as connections that share a
- * line do. So that many entries do not try out more together than one would alone, each
- * grows its limit by its share of what the endpoint runs.
+ * A limit on all requests, including those of other entries, would starve an entry:
+ * entries with higher limits fill the endpoint, and the entry never sends the requests
+ * that would raise its own limit. With separate limits each entry obtains its share, like
+ * connections that share a link. Each entry raises its limit in proportion to its share
+ * of the endpoint's requests, so that many entries together probe no faster than a single
+ * one.
  * <p>
- * An endpoint that is new or comes back starts low and doubles its limit with each round
- * of answers in time (slow start), so that it is not flooded by all the work that waited
- * for it. After its first late answer the limit grows by one a round and shrinks by a
- * part, as congestion control does.
+ * The limit of an endpoint that is new or live again starts low and doubles with each
+ * round of timely answers (slow start), so that queued requests do not overload it. After
+ * the first late answer, the limit increases additively by one per round and decreases
+ * multiplicatively (AIMD).
  */
 final class ConcurrencyLimit {
 
-	static final double FIRST = 2;
+	static final double INITIAL_LIMIT = 2;
 
-	private static final double LOWEST = 1;
+	private static final double MINIMUM_LIMIT = 1;
 
-	private static final double HIGHEST = 1024;
+	private static final double MAXIMUM_LIMIT = 1024;
 
-	private static final double LATE_FACTOR = 0.9;
+	private static final double MAXIMUM_DECREASE_FACTOR = 0.9;
 
-	/** Bounds what one very late answer can do. */
-	private static final double LOWEST_FACTOR = 0.5;
+	/** Bounds the effect of a single very late answer. */
+	private static final double MINIMUM_DECREASE_FACTOR = 0.5;
 
-	private static final double OVERLOAD_FACTOR = 0.7;
+	private static final double OVERLOAD_DECREASE_FACTOR = 0.7;
 
-	/** Share of the limit that must be in use before an answer in time can raise it. */
-	private static final double USED_SHARE = 0.6;
+	/** Share of the limit that must be in use for a timely answer to raise it. */
+	private static final double MINIMUM_UTILIZATION = 0.6;
 
-	private double limit = FIRST;
+	private double limit = INITIAL_LIMIT;
 
 	private boolean slowStart = true;
 
-	private double shrunkAt = Double.NEGATIVE_INFINITY;
+	private double decreasedAt = Double.NEGATIVE_INFINITY;
 
 	double value() {
 		return this.limit;
@@ -46,47 +47,47 @@
 		return this.slowStart;
 	}
 
-	void restart() {
-		this.limit = LOWEST;
+	void reset() {
+		this.limit = MINIMUM_LIMIT;
 		this.slowStart = true;
-		this.shrunkAt = Double.NEGATIVE_INFINITY;
+		this.decreasedAt = Double.NEGATIVE_INFINITY;
 	}
 
 	/**
-	 * Notes an answer in time.
-	 * @param own how many requests of this entry the endpoint had
-	 * @param share the part of its requests that those were
+	 * Records a timely answer.
+	 * @param ownInFlight the number of this entry's requests at the endpoint
+	 * @param share the share of the endpoint's requests that were sent by this entry
 	 */
-	void inTime(double own, double share) {
-		if (own < this.limit * USED_SHARE) {
+	void recordTimely(double ownInFlight, double share) {
+		if (ownInFlight < this.limit * MINIMUM_UTILIZATION) {
 			return;
 		}
 		double growth = (this.slowStart ? share : share / this.limit);
-		this.limit = Math.min(HIGHEST, this.limit + growth);
+		this.limit = Math.min(MAXIMUM_LIMIT, this.limit + growth);
 	}
 
 	/**
-	 * Notes a late answer. Answers to requests that were sent before the last shrink say
-	 * nothing about the smaller limit and are passed over.
-	 * @param ratio the time that it took, over the longest that is in time
+	 * Records a late answer. Answers to requests sent before the last decrease do not
+	 * reflect the lower limit and are ignored.
+	 * @param ratio the duration of the answer divided by the longest timely duration
 	 * @param sentAt when the late request was sent
 	 * @param now the current time
 	 */
-	void late(double ratio, double sentAt, double now) {
-		shrink(Math.clamp(1 / ratio, LOWEST_FACTOR, LATE_FACTOR), sentAt, now);
+	void recordLate(double ratio, double sentAt, double now) {
+		decrease(Math.clamp(1 / ratio, MINIMUM_DECREASE_FACTOR, MAXIMUM_DECREASE_FACTOR), sentAt, now);
 	}
 
-	void overloaded(double sentAt, double now) {
-		shrink(OVERLOAD_FACTOR, sentAt, now);
+	void recordOverload(double sentAt, double now) {
+		decrease(OVERLOAD_DECREASE_FACTOR, sentAt, now);
 	}
 
-	private void shrink(double factor, double sentAt, double now) {
-		if (sentAt <= this.shrunkAt) {
+	private void decrease(double factor, double sentAt, double now) {
+		if (sentAt <= this.decreasedAt) {
 			return;
 		}
 		this.slowStart = false;
-		this.limit = Math.max(LOWEST, this.limit * factor);
-		this.shrunkAt = now;
+		this.limit = Math.max(MINIMUM_LIMIT, this.limit * factor);
+		this.decreasedAt = now;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/CostAtTargetPolicy.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/CostAtTargetPolicy.java
@@ -3,12 +3,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes the cheapest endpoint that is predicted to meet the latency target with a margin,
- * else the one that is soonest done.
+ * Chooses the cheapest endpoint that is predicted to meet the latency targets with a
+ * margin, or else the endpoint with the earliest predicted completion.
  * <p>
- * The cost is the price of the machine's time that the request takes: the uncached part
- * of its prompt, and its share of the batch while its answer is generated. A holder of
- * the prompt's prefix hence wins when it saves more than it costs.
+ * The cost is the price of the machine time used by the request: the uncached part of its
+ * prompt, and its share of the batch during generation. An endpoint with a cached prefix
+ * of the prompt is therefore chosen if the saved computation outweighs its higher price.
  */
 final class CostAtTargetPolicy implements PlacementPolicy {
 
@@ -22,10 +22,10 @@
 
 	/**
 	 * Creates the policy.
-	 * @param selector picks the candidates among many
-	 * @param candidates holds the candidates
-	 * @param settings the margin, so that a prediction that is somewhat off still meets
-	 * the target, and the weight of prompts
+	 * @param selector selects the candidates
+	 * @param candidates the candidates
+	 * @param settings the margin, which lets slightly inaccurate predictions still meet
+	 * the target, and the prompt weight
 	 */
 	CostAtTargetPolicy(CandidateSelector selector, Candidates candidates, PlacementSettings settings) {
 		this.selector = selector;
@@ -37,48 +37,49 @@
 	public @Nullable Choice choose(PlacementRequest request, ServiceEndpoints endpoints, double now) {
 		this.candidates.clear(request.excluded());
 		this.selector.add(request, endpoints, this.candidates);
-		double waited = Math.max(0, now - Seconds.of(request.acceptedAt()));
-		double firstTokenTarget = Seconds.of(request.profile().firstTokenTarget()) * this.settings.margin() - waited;
+		double waitedSeconds = Math.max(0, now - Seconds.of(request.acceptedAt()));
+		double firstTokenTarget = Seconds.of(request.profile().firstTokenTarget()) * this.settings.margin()
+				- waitedSeconds;
 		double tokenTarget = Seconds.of(request.profile().tokenTarget()) * this.settings.margin();
-		Best cheapest = new Best();
-		Best soonest = new Best();
+		Minimum lowestCost = new Minimum();
+		Minimum earliest = new Minimum();
 		for (int i = 0; i < this.candidates.size(); i++) {
 			Endpoint endpoint = this.candidates.endpoint(i);
-			double uncached = Math.max(1, request.promptTokens() - this.candidates.cachedTokens(i));
-			double firstToken = endpoint.predictFirstToken(uncached);
+			double uncachedTokens = Math.max(1, request.promptTokens() - this.candidates.cachedTokens(i));
+			double firstToken = endpoint.predictFirstToken(uncachedTokens);
 			double perToken = endpoint.predictPerToken();
-			soonest.consider(i, penalty(endpoint) * (firstToken + request.outputTokens() * perToken));
-			if (firstToken <= firstTokenTarget && perToken <= tokenTarget && endpoint.hasRoom()) {
-				cheapest.consider(i, cost(endpoint, uncached, request.outputTokens(), perToken));
+			earliest.consider(i, penalty(endpoint) * (firstToken + request.outputTokens() * perToken));
+			if (firstToken <= firstTokenTarget && perToken <= tokenTarget && endpoint.hasFreeSlot()) {
+				lowestCost.consider(i, cost(endpoint, uncachedTokens, request.outputTokens(), perToken));
 			}
 		}
-		return choice(cheapest.isEmpty() ? soonest : cheapest);
+		return choice(lowestCost.isEmpty() ? earliest : lowestCost);
 	}
 
-	private @Nullable Choice choice(Best best) {
-		if (best.isEmpty()) {
+	private @Nullable Choice choice(Minimum minimum) {
+		if (minimum.isEmpty()) {
 			return null;
 		}
-		return new Choice(this.candidates.endpoint(best.index), this.candidates.cachedTokens(best.index));
+		return new Choice(this.candidates.endpoint(minimum.index), this.candidates.cachedTokens(minimum.index));
 	}
 
-	private double cost(Endpoint endpoint, double uncached, int output, double perToken) {
-		double prompt = endpoint.predictPrompt(uncached);
-		double generation = output * perToken / (endpoint.inFlight() + 1);
+	private double cost(Endpoint endpoint, double uncachedTokens, int outputTokens, double perToken) {
+		double promptSeconds = endpoint.predictPrompt(uncachedTokens);
+		double generationSeconds = outputTokens * perToken / (endpoint.inFlight() + 1);
 		return endpoint.definition().pricePerHour() / SECONDS_PER_HOUR
-				* (this.settings.promptWeight() * prompt + generation);
+				* (this.settings.promptWeight() * promptSeconds + generationSeconds);
 	}
 
 	private static double penalty(Endpoint endpoint) {
-		// Puts back an endpoint over its limit. Its predictions come from the load it
-		// had within the limit and are too good beyond it.
-		return endpoint.overLimit();
+		// Ranks endpoints over their limit lower. Predictions are based on observations
+		// within the limit and are too optimistic beyond it.
+		return endpoint.overloadFactor();
 	}
 
 	/**
-	 * The candidate with the lowest value so far.
+	 * Tracks the candidate with the lowest value.
 	 */
-	private static final class Best {
+	private static final class Minimum {
 
 		private int index = -1;
 
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/Endpoint.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/Endpoint.java
@@ -10,32 +10,36 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An endpoint and what this entry knows of it. An entity of {@link EndpointTable}, which
- * alone changes it; not safe for use by several threads.
+ * An endpoint with the load, latency and cache state that this entry has observed. Only
+ * {@link EndpointTable} modifies it. Not thread-safe.
  */
 public final class Endpoint {
 
-	/** The share of the KV cache above which a new request waits for one to end. */
-	private static final double KV_FULL = 0.95;
+	/**
+	 * Share of the KV cache in use above which a new request waits for another to end.
+	 */
+	private static final double KV_CACHE_FULL_SHARE = 0.95;
 
-	/** A first token this many times later than an idle endpoint's is a late one. */
-	private static final double LATE_RATIO = 2;
+	/**
+	 * A first token is late if it takes this many times as long as on an idle endpoint.
+	 */
+	private static final double LATE_FIRST_TOKEN_RATIO = 2;
 
 	/**
-	 * The share of the target at which the limit is held. Held at the whole target, the
-	 * limit would swing around it and half of the answers would be late.
+	 * Share of the first-token target that the limit aims at. A limit that aims at the
+	 * full target oscillates around it, and half of the answers are late.
 	 */
-	private static final double LIMIT_SHARE = 0.6;
+	private static final double FIRST_TOKEN_TARGET_SHARE = 0.6;
 
-	private static final double LIMIT_SHARE_OF_TOKEN = 0.85;
+	private static final double TOKEN_TARGET_SHARE = 0.85;
 
-	private final SpeedEstimate speed = new SpeedEstimate();
+	private final LatencyEstimate latency = new LatencyEstimate();
 
 	private final ConcurrencyLimit limit = new ConcurrencyLimit();
 
-	private final SentCounter sent = new SentCounter();
+	private final RecentEventCounter sent = new RecentEventCounter();
 
-	private final SentCounter ended = new SentCounter();
+	private final RecentEventCounter ended = new RecentEventCounter();
 
 	private final Map<RequestId, Attempt> attempts = new HashMap<>(4);
 
@@ -55,17 +59,17 @@
 
 	private long cacheSequence = -1;
 
-	private CacheLife cacheLife = new CacheLife(this);
+	private CacheGeneration cacheGeneration = new CacheGeneration(this);
 
-	private long cacheGaps;
+	private long cacheEventGaps;
 
-	private int lossesInRow;
+	private int consecutiveLosses;
 
 	private double goneAt;
 
-	private double countedFree;
+	private double lastFreeCapacity;
 
-	private boolean countedFound;
+	private boolean lastPastSlowStart;
 
 	private long stamp;
 
@@ -82,7 +86,7 @@
 	}
 
 	/**
-	 * Returns what the platform's list says of the endpoint.
+	 * Returns the endpoint's entry in the platform's list.
 	 * @return the definition
 	 */
 	public EndpointDefinition definition() {
@@ -98,7 +102,7 @@
 	}
 
 	/**
-	 * Returns whether the endpoint may be given work.
+	 * Returns the state, which determines whether the endpoint receives new work.
 	 * @return the state
 	 */
 	public EndpointState state() {
@@ -106,15 +110,15 @@
 	}
 
 	/**
-	 * Returns when the VM is taken away.
-	 * @return the time, or {@code null} if there was no notice
+	 * Returns when the VM is reclaimed.
+	 * @return the time, or {@code null} without a reclaim notice
 	 */
 	public @Nullable Instant reclaimAt() {
 		return this.reclaimAt;
 	}
 
 	/**
-	 * Returns the attempts of this entry that run at the endpoint.
+	 * Returns the number of this entry's attempts running at the endpoint.
 	 * @return the number of attempts
 	 */
 	public int ownInFlight() {
@@ -122,8 +126,8 @@
 	}
 
 	/**
-	 * Returns the requests at the endpoint as this entry estimates them: by the last load
-	 * report, and what this entry and its peers sent since.
+	 * Returns the estimated number of requests at the endpoint, based on the last load
+	 * report and on what this entry and its peers have sent since.
 	 * @return the estimated number of requests
 	 */
 	public int inFlight() {
@@ -132,15 +136,15 @@
 	}
 
 	/**
-	 * Returns how often an event of the endpoint's cache was missing.
-	 * @return the number of gaps in the sequence
+	 * Returns the number of gaps in the sequence of the endpoint's cache events.
+	 * @return the number of gaps
 	 */
-	public long cacheGaps() {
-		return this.cacheGaps;
+	public long cacheEventGaps() {
+		return this.cacheEventGaps;
 	}
 
 	/**
-	 * Returns the adaptive limit of this entry's own requests at once.
+	 * Returns the adaptive limit on this entry's concurrent requests.
 	 * @return the limit, at least 1
 	 */
 	public double concurrencyLimit() {
@@ -148,61 +152,61 @@
 	}
 
 	/**
-	 * Returns whether another request stays within the limit.
-	 * @return whether there is room
+	 * Returns whether another request is within the concurrency limit.
+	 * @return {@code true} if at least one slot is free
 	 */
-	public boolean hasRoom() {
-		return freeRoom() >= 1;
+	public boolean hasFreeSlot() {
+		return freeSlots() >= 1;
 	}
 
 	/**
-	 * Returns how many more requests stay within the limit.
-	 * @return the number of requests, with fractions
+	 * Returns the number of free slots within the concurrency limit.
+	 * @return the number of requests, possibly fractional
 	 */
-	double freeRoom() {
+	double freeSlots() {
 		return Math.max(0, this.limit.value() - ownInFlight());
 	}
 
 	/**
-	 * Returns how far over the limit another request would be.
-	 * @return the requests over the limit, 1 within it
+	 * Returns the ratio of the load with another request to the concurrency limit.
+	 * @return the ratio, 1 if the request is within the limit
 	 */
-	double overLimit() {
+	double overloadFactor() {
 		return Math.max(1, (ownInFlight() + 1) / this.limit.value());
 	}
 
 	/**
-	 * Predicts the time to the first token of a request sent now.
-	 * @param uncachedTokens the tokens of its prompt that the endpoint must compute
-	 * @return the time in seconds, 0 if nothing is known yet
+	 * Predicts the time to first token of a request sent now.
+	 * @param uncachedTokens the prompt tokens that the endpoint must compute
+	 * @return the time in seconds, 0 without observations
 	 */
 	public double predictFirstToken(double uncachedTokens) {
-		return this.speed.firstTokenSeconds(backlogTokens() + uncachedTokens) + slotWait(uncachedTokens);
+		return this.latency.firstTokenSeconds(backlogTokens() + uncachedTokens) + batchSlotWait(uncachedTokens);
 	}
 
 	/**
 	 * Predicts the time between tokens of a request sent now.
-	 * @return the time in seconds, 0 if nothing is known yet
+	 * @return the time in seconds, 0 without observations
 	 */
 	public double predictPerToken() {
-		return this.speed.perTokenSeconds(inFlight() + 1.0);
+		return this.latency.perTokenSeconds(inFlight() + 1.0);
 	}
 
 	/**
-	 * Predicts the time that the endpoint itself spends on a prompt, without waiting.
-	 * @param uncachedTokens the tokens of its prompt that the endpoint must compute
+	 * Predicts the time that the endpoint spends on a prompt, excluding queueing.
+	 * @param uncachedTokens the prompt tokens that the endpoint must compute
 	 * @return the time in seconds
 	 */
 	double predictPrompt(double uncachedTokens) {
-		return this.speed.firstTokenSeconds(uncachedTokens);
+		return this.latency.firstTokenSeconds(uncachedTokens);
 	}
 
-	boolean isSpeedUnknown() {
-		return this.speed.isUnknown();
+	boolean isLatencyUnknown() {
+		return this.latency.isUnknown();
 	}
 
-	SpeedEstimate speed() {
-		return this.speed;
+	LatencyEstimate latency() {
+		return this.latency;
 	}
 
 	int position(int kind) {
@@ -213,39 +217,39 @@
 		this.positions[kind] = position;
 	}
 
-	CacheLife cacheLife() {
-		return this.cacheLife;
+	CacheGeneration cacheGeneration() {
+		return this.cacheGeneration;
 	}
 
 	boolean isLive() {
 		return this.state == EndpointState.LIVE;
 	}
 
-	void redefine(EndpointDefinition newDefinition) {
+	void updateDefinition(EndpointDefinition newDefinition) {
 		this.definition = newDefinition;
 	}
 
-	void leave(Instant at) {
+	void markLeaving(Instant at) {
 		this.state = EndpointState.LEAVING;
 		this.reclaimAt = at;
 	}
 
-	void lost(double now) {
+	void markGone(double now) {
 		this.state = EndpointState.GONE;
 		this.goneAt = now;
-		this.lossesInRow++;
-		this.cacheLife = new CacheLife(this);
+		this.consecutiveLosses++;
+		this.cacheGeneration = new CacheGeneration(this);
 		this.cacheSequence = -1;
 		this.attempts.clear();
 		this.pendingTokens = 0;
 		this.pendingCount = 0;
-		forgetLoad();
+		clearLoad();
 	}
 
 	/**
-	 * Stamps the endpoint.
+	 * Marks the endpoint with a stamp.
 	 * @param newStamp the stamp
-	 * @return whether it did not have that stamp
+	 * @return {@code true} if the endpoint had a different stamp before
 	 */
 	boolean stamp(long newStamp) {
 		boolean changed = this.stamp != newStamp;
@@ -253,25 +257,25 @@
 		return changed;
 	}
 
-	double countedFree() {
-		return this.countedFree;
+	double lastFreeCapacity() {
+		return this.lastFreeCapacity;
 	}
 
-	boolean isCountedFound() {
-		return this.countedFound;
+	boolean wasPastSlowStart() {
+		return this.lastPastSlowStart;
 	}
 
-	void countFree(double free, boolean found) {
-		this.countedFree = free;
-		this.countedFound = found;
+	void recordCapacity(double freeCapacity, boolean pastSlowStart) {
+		this.lastFreeCapacity = freeCapacity;
+		this.lastPastSlowStart = pastSlowStart;
 	}
 
 	/**
-	 * Returns whether an answer was late since the endpoint came, so that the limit is
-	 * more than a first guess.
-	 * @return whether it was
+	 * Returns whether the concurrency limit has been decreased since the endpoint became
+	 * live, so that it reflects the endpoint's capacity.
+	 * @return {@code true} after slow start
 	 */
-	boolean isLimitFound() {
+	boolean isPastSlowStart() {
 		return !this.limit.isSlowStart();
 	}
 
@@ -279,37 +283,37 @@
 		return this.goneAt;
 	}
 
-	int lossesInRow() {
-		return this.lossesInRow;
+	int consecutiveLosses() {
+		return this.consecutiveLosses;
 	}
 
-	void comeBack() {
+	void markLive() {
 		this.state = EndpointState.LIVE;
-		this.limit.restart();
+		this.limit.reset();
 	}
 
-	void report(LoadReport newReport) {
+	void updateLoad(LoadReport newReport) {
 		if (this.report != null && newReport.asOf().isBefore(this.report.asOf())) {
 			return;
 		}
 		this.report = newReport;
 		double asOf = Seconds.of(newReport.asOf());
-		this.sent.forgetUntil(asOf);
-		this.ended.forgetUntil(asOf);
+		this.sent.removeUntil(asOf);
+		this.ended.removeUntil(asOf);
 	}
 
 	/**
-	 * Forgets what was sent so long before a time that it says nothing of the load then.
+	 * Discards events that are too old to affect the load at the given time.
 	 * @param time the time in seconds
 	 */
-	void forgetBefore(double time) {
-		this.sent.forgetUntil(time - SentCounter.LONGEST_SECONDS);
-		this.ended.forgetUntil(time - SentCounter.LONGEST_SECONDS);
+	void discardBefore(double time) {
+		this.sent.removeUntil(time - RecentEventCounter.RETENTION_SECONDS);
+		this.ended.removeUntil(time - RecentEventCounter.RETENTION_SECONDS);
 	}
 
-	// Without reports nothing would ever take these out again: the endpoint would look
-	// fuller with each heartbeat until nobody was let in.
-	void sentByPeers(int count, double now) {
+	// Only a load report removes these events. Without reports, the estimated load would
+	// grow with each heartbeat until no request is admitted.
+	void recordSentByPeers(int count, double now) {
 		if (this.report == null) {
 			return;
 		}
@@ -319,124 +323,128 @@
 	}
 
 	/**
-	 * Notes a cache event's number.
-	 * @param sequence the event's number
-	 * @return whether the event is new; an old one must not undo a newer one
+	 * Records the sequence number of a cache event.
+	 * @param sequence the sequence number
+	 * @return {@code true} if the event is newer than all before; an older event must not
+	 * override a newer one
 	 */
-	boolean cacheEvent(long sequence) {
+	boolean recordCacheEvent(long sequence) {
 		if (sequence <= this.cacheSequence) {
 			return false;
 		}
 		boolean gap = this.cacheSequence >= 0 && sequence > this.cacheSequence + 1;
 		this.cacheSequence = sequence;
 		if (gap) {
-			this.cacheGaps++;
+			this.cacheEventGaps++;
 		}
 		return true;
 	}
 
-	void start(RequestId request, double uncachedTokens, double firstTokenTarget, double tokenTarget, double now) {
-		double work = backlogTokens() + uncachedTokens;
-		Attempt attempt = new Attempt(now, uncachedTokens, work, inFlight() + 1.0, ownInFlight() + 1, firstTokenTarget,
-				tokenTarget);
+	void startAttempt(RequestId request, double uncachedTokens, double firstTokenTarget, double tokenTarget,
+			double now) {
+		double workTokens = backlogTokens() + uncachedTokens;
+		Attempt attempt = new Attempt(now, uncachedTokens, workTokens, inFlight() + 1.0, ownInFlight() + 1,
+				firstTokenTarget, tokenTarget);
 		this.attempts.put(request, attempt);
 		this.sent.add(now);
 		this.pendingTokens += uncachedTokens;
 		this.pendingCount++;
-		this.speed.observePrompt(uncachedTokens);
+		this.latency.observePrompt(uncachedTokens);
 	}
 
-	@Nullable Attempt firstToken(RequestId request, double now) {
+	@Nullable Attempt recordFirstToken(RequestId request, double now) {
 		Attempt attempt = this.attempts.get(request);
 		if (attempt == null || !attempt.isWaitingForFirstToken()) {
 			return null;
 		}
-		stopWaiting(attempt);
-		attempt.firstToken(now);
+		removePending(attempt);
+		attempt.recordFirstToken(now);
 		double seconds = now - attempt.startedAt();
-		double idle = this.speed.firstTokenSeconds(attempt.uncachedTokens());
-		double longest = Math.max(attempt.firstTokenTarget() * LIMIT_SHARE, LATE_RATIO * idle);
-		judge(attempt, seconds / longest, now);
-		this.speed.observeFirstToken(attempt.workTokens(), seconds);
-		this.lossesInRow = 0;
+		double idleSeconds = this.latency.firstTokenSeconds(attempt.uncachedTokens());
+		double maximum = Math.max(attempt.firstTokenTarget() * FIRST_TOKEN_TARGET_SHARE,
+				LATE_FIRST_TOKEN_RATIO * idleSeconds);
+		adjustLimit(attempt, seconds / maximum, now);
+		this.latency.observeFirstToken(attempt.workTokens(), seconds);
+		this.consecutiveLosses = 0;
 		return attempt;
 	}
 
-	void tokens(RequestId request, int count, double now) {
+	void recordTokens(RequestId request, int count, double now) {
 		Attempt attempt = this.attempts.get(request);
 		if (attempt != null && !attempt.isWaitingForFirstToken()) {
-			attempt.tokens(count, now);
+			attempt.recordTokens(count, now);
 		}
 	}
 
-	@Nullable Attempt end(RequestId request, AttemptOutcome outcome, double now) {
+	@Nullable Attempt endAttempt(RequestId request, AttemptOutcome outcome, double now) {
 		Attempt attempt = this.attempts.remove(request);
 		if (attempt == null) {
 			return null;
 		}
 		this.ended.add(now);
 		if (attempt.isWaitingForFirstToken()) {
-			stopWaiting(attempt);
+			removePending(attempt);
 		}
-		if (outcome.isOverloadSign()) {
-			this.limit.overloaded(attempt.startedAt(), now);
+		if (outcome.indicatesOverload()) {
+			this.limit.recordOverload(attempt.startedAt(), now);
 		}
 		if (outcome == AttemptOutcome.COMPLETED) {
-			learnFromCompleted(attempt, now);
+			observeCompleted(attempt, now);
 		}
 		return attempt;
 	}
 
-	private void learnFromCompleted(Attempt attempt, double now) {
-		this.speed.observeEnd(now - attempt.startedAt());
+	private void observeCompleted(Attempt attempt, double now) {
+		this.latency.observeTotal(now - attempt.startedAt());
 		if (attempt.tokenCount() > 0) {
 			double perToken = attempt.secondsPerToken();
 			double concurrency = (attempt.concurrency() + inFlight() + 1) / 2;
-			this.speed.observePerToken(concurrency, perToken);
-			if (perToken > attempt.tokenTarget() * LIMIT_SHARE_OF_TOKEN) {
-				this.limit.late(perToken / (attempt.tokenTarget() * LIMIT_SHARE_OF_TOKEN), attempt.startedAt(), now);
+			this.latency.observePerToken(concurrency, perToken);
+			if (perToken > attempt.tokenTarget() * TOKEN_TARGET_SHARE) {
+				this.limit.recordLate(perToken / (attempt.tokenTarget() * TOKEN_TARGET_SHARE), attempt.startedAt(),
+						now);
 			}
 		}
 	}
 
-	private void judge(Attempt attempt, double ratio, double now) {
+	private void adjustLimit(Attempt attempt, double ratio, double now) {
 		if (ratio <= 1) {
-			this.limit.inTime(attempt.own(), attempt.ownShare());
+			this.limit.recordTimely(attempt.ownInFlight(), attempt.ownShare());
 		}
 		else {
-			this.limit.late(ratio, attempt.startedAt(), now);
+			this.limit.recordLate(ratio, attempt.startedAt(), now);
 		}
 	}
 
-	private void stopWaiting(Attempt attempt) {
+	private void removePending(Attempt attempt) {
 		this.pendingTokens -= attempt.uncachedTokens();
 		this.pendingCount--;
 	}
 
-	private void forgetLoad() {
+	private void clearLoad() {
 		this.report = null;
-		this.sent.forgetUntil(Double.POSITIVE_INFINITY);
-		this.ended.forgetUntil(Double.POSITIVE_INFINITY);
+		this.sent.removeUntil(Double.POSITIVE_INFINITY);
+		this.ended.removeUntil(Double.POSITIVE_INFINITY);
 	}
 
 	private double backlogTokens() {
-		double others = Math.max(0, queuedCount() - this.pendingCount);
-		return this.pendingTokens + others * this.speed.meanPromptTokens();
+		double otherQueued = Math.max(0, queuedCount() - this.pendingCount);
+		return this.pendingTokens + otherQueued * this.latency.meanPromptTokens();
 	}
 
 	private int queuedCount() {
 		return ((this.report != null) ? this.report.queued() : 0);
 	}
 
-	private double slotWait(double uncachedTokens) {
-		LoadReport last = this.report;
-		if (last == null || last.kvLimit() <= 0 || last.running() == 0) {
+	private double batchSlotWait(double uncachedTokens) {
+		LoadReport current = this.report;
+		if (current == null || current.kvLimit() <= 0 || current.running() == 0) {
 			return 0;
 		}
-		if (last.kvUsed() + uncachedTokens <= last.kvLimit() * KV_FULL) {
+		if (current.kvUsed() + uncachedTokens <= current.kvLimit() * KV_CACHE_FULL_SHARE) {
 			return 0;
 		}
-		return (last.queued() + 1) * this.speed.meanSeconds() / last.running();
+		return (current.queued() + 1) * this.latency.meanTotalSeconds() / current.running();
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointDefinition.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointDefinition.java
@@ -8,16 +8,16 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * What the platform's list says of an endpoint.
+ * An endpoint's entry in the platform's list.
  *
  * @param id the endpoint's identifier
- * @param vm the VM that it runs on
+ * @param vm the VM on which it runs
  * @param dataCenter the VM's data center
  * @param zone the VM's zone
  * @param machineClass the VM's machine class
  * @param service the service that it serves
  * @param address the socket address, as host and port
- * @param pricePerHour the VM's price for an hour, not negative
+ * @param pricePerHour the VM's hourly price, not negative
  */
 public record EndpointDefinition(EndpointId id, VmId vm, DataCenterName dataCenter, ZoneName zone,
 		MachineClass machineClass, ServiceName service, String address, double pricePerHour) {
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointGroup.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointGroup.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Endpoints that can be drawn from by number, with constant time to add and remove.
+ * An indexed set of endpoints with insertion and removal in constant time.
  */
 final class EndpointGroup {
 
@@ -12,7 +12,7 @@
 
 	static final int POOL = 1;
 
-	/** How many kinds of groups an endpoint can be in, one group of each at a time. */
+	/** Number of group kinds. An endpoint is in at most one group of each kind. */
 	static final int KINDS = 2;
 
 	private final int kind;
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointPool.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointPool.java
@@ -1,10 +1,11 @@
 package org.banyancove.core.routing;
 
 /**
- * Endpoints of one service in one data center at one price, alike for placement.
+ * The endpoints of a service in a data center at the same price, which are equivalent for
+ * placement.
  *
- * @param pricePerHour the price of each
- * @param endpoints the endpoints that take new work
+ * @param pricePerHour the hourly price of each endpoint
+ * @param endpoints the live endpoints
  */
 record EndpointPool(double pricePerHour, EndpointGroup endpoints) {
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointRegion.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointRegion.java
@@ -6,13 +6,13 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * The data centers whose endpoints an entry keeps in full.
+ * The data centers of which an entry keeps all endpoints.
  *
- * @param dataCenters the data centers of the region, empty if all are one region
+ * @param dataCenters the data centers of the region, empty if the region contains all
  */
 public record EndpointRegion(Set<DataCenterName> dataCenters) {
 
-	/** All data centers are one region. */
+	/** The region that contains all data centers. */
 	public static final EndpointRegion ALL = new EndpointRegion(Set.of());
 
 	/**
@@ -25,7 +25,8 @@
 	/**
 	 * Returns the region of a data center.
 	 * @param own the data center
-	 * @param others the other data centers of its region, empty if all are one region
+	 * @param others the other data centers of its region, empty if the region contains
+	 * all
 	 * @return the region
 	 */
 	public static EndpointRegion of(DataCenterName own, Set<DataCenterName> others) {
@@ -40,7 +41,7 @@
 	/**
 	 * Returns whether a data center is in the region.
 	 * @param dataCenter the data center
-	 * @return whether it is
+	 * @return {@code true} if it is
 	 */
 	public boolean contains(DataCenterName dataCenter) {
 		return this.dataCenters.isEmpty() || this.dataCenters.contains(dataCenter);
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointState.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointState.java
@@ -1,17 +1,20 @@
 package org.banyancove.core.routing;
 
 /**
- * Whether an endpoint may be given work.
+ * The state of an endpoint, which determines whether it receives new work.
  */
 public enum EndpointState {
 
-	/** The endpoint takes new work. */
+	/** The endpoint accepts new work. */
 	LIVE,
 
-	/** The endpoint was given notice: it finishes what it has and gets no new work. */
+	/**
+	 * The endpoint has a reclaim notice: it completes running work and receives no new
+	 * work.
+	 */
 	LEAVING,
 
-	/** The endpoint crashed or vanished. */
+	/** The endpoint crashed, or its VM was lost. */
 	GONE
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointTable.java
@@ -23,29 +23,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The endpoints that this entry knows, and what it learned of each.
+ * The endpoints available to this entry, with the state observed of each.
  * <p>
- * A reclaim notice is final: no list, however new, makes a VM with a notice live again,
- * since the list lags behind the notices and VM identifiers are never used twice. An
- * endpoint that was lost without a notice is live again once a list names it that was
- * made after the loss, and after a pause that doubles with each loss in a row.
+ * A reclaim notice is final: no list makes a VM with a notice live again, since the list
+ * lags behind the notices and VM identifiers are never reused. An endpoint that was lost
+ * without a notice becomes live again when a list that is newer than the loss plus a
+ * backoff contains it. The backoff doubles with each consecutive loss.
  * <p>
- * Belongs to the tick loop; not safe for use by several threads.
+ * Confined to the tick loop; not thread-safe.
  */
 public final class EndpointTable {
 
-	/** Notices remembered after their VM is off the list; the oldest go first. */
-	private static final int MOST_NOTICES = 20_000;
+	/** Maximum number of retained notices; the oldest are evicted first. */
+	private static final int MAXIMUM_NOTICES = 20_000;
 
-	/** Endpoints of other regions kept of a service that the own region has none of. */
-	static final int MOST_ELSEWHERE = Candidates.MOST;
+	/**
+	 * Maximum number of remote endpoints of a service without an endpoint in this region.
+	 */
+	static final int MAXIMUM_REMOTE_ENDPOINTS = Candidates.MAXIMUM_SIZE;
 
-	private static final Duration FIRST_PAUSE = Duration.ofSeconds(1);
+	private static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
 
-	private static final int MOST_DOUBLINGS = 6;
+	private static final int MAXIMUM_BACKOFF_DOUBLINGS = 6;
 
-	/** Keeps callers from coming back in a busy loop. */
-	private static final double SHORTEST_RETRY_SECONDS = 0.1;
+	/** Keeps callers from retrying in a busy loop. */
+	private static final double MINIMUM_RETRY_AFTER_SECONDS = 0.1;
 
 	private final Map<EndpointId, Endpoint> endpoints = new HashMap<>();
 
@@ -53,9 +55,9 @@
 
 	private final Map<ServiceName, ServiceEndpoints> services = new HashMap<>();
 
-	private final Map<ClassKey, SpeedEstimate> classSpeeds = new HashMap<>();
+	private final Map<ClassKey, LatencyEstimate> classLatencies = new HashMap<>();
 
-	private final SharedNames names = new SharedNames();
+	private final NameInterner interner = new NameInterner();
 
 	private final EndpointRegion region;
 
@@ -64,12 +66,12 @@
 	private final Map<VmId, Instant> notices = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<VmId, Instant> eldest) {
-			return size() > MOST_NOTICES;
+			return size() > MAXIMUM_NOTICES;
 		}
 	};
 
 	/**
-	 * Creates a table of all endpoints.
+	 * Creates a table that keeps the endpoints of all regions.
 	 */
 	public EndpointTable() {
 		this(EndpointRegion.ALL, 0);
@@ -78,8 +80,8 @@
 	/**
 	 * Creates a table that keeps the endpoints of one region.
 	 * @param region the region
-	 * @param salt a number of the entry's own, so that the entries of a region that need
-	 * another one do not all turn to the same endpoints
+	 * @param salt a number that differs between entries, so that the entries of a region
+	 * do not all select the same remote endpoints
 	 */
 	public EndpointTable(EndpointRegion region, long salt) {
 		this.region = region;
@@ -87,31 +89,32 @@
 	}
 
 	/**
-	 * Takes in the platform's list: keeps the endpoints of the region, and a bounded
-	 * number of others of a service that the region has no endpoint of. Those are given
-	 * up again once the region has one and no attempt runs there.
-	 * @param live the endpoints on the list
-	 * @param asOf the time that the list stands for
+	 * Applies the platform's list. Keeps the endpoints of the region and, for a service
+	 * without an endpoint in the region, a bounded number of remote endpoints. Remote
+	 * endpoints are removed once the region has an endpoint of the service and no attempt
+	 * runs at them.
+	 * @param live the live endpoints on the list
+	 * @param asOf the time at which the list is valid
 	 */
 	public void listed(Collection<EndpointDefinition> live, Instant asOf) {
-		List<EndpointDefinition> elsewhere = new ArrayList<>();
+		List<EndpointDefinition> remote = new ArrayList<>();
 		for (EndpointDefinition definition : live) {
 			if (this.region.contains(definition.dataCenter())) {
 				put(definition, asOf);
 			}
 			else {
-				elsewhere.add(definition);
+				remote.add(definition);
 			}
 		}
-		if (!elsewhere.isEmpty()) {
-			listedElsewhere(elsewhere, asOf);
+		if (!remote.isEmpty()) {
+			applyRemote(remote, asOf);
 		}
 	}
 
 	/**
-	 * Puts an endpoint in the table, or renews what the platform's list says of it.
-	 * @param definition what the list says
-	 * @param asOf the time that the list stands for
+	 * Adds an endpoint or updates its definition.
+	 * @param definition the endpoint's entry in the platform's list
+	 * @param asOf the time at which the list is valid
 	 */
 	public void put(EndpointDefinition definition, Instant asOf) {
 		Endpoint known = this.endpoints.get(definition.id());
@@ -119,20 +122,22 @@
 			add(definition);
 			return;
 		}
-		renew(known, definition);
-		known.forgetBefore(Seconds.of(asOf));
-		recount(known);
-		// An endpoint that had its notice and then vanished is still on the lagging list.
-		if (known.state() == EndpointState.GONE && known.reclaimAt() == null && isPauseOver(known, Seconds.of(asOf))) {
-			known.comeBack();
+		update(known, definition);
+		known.discardBefore(Seconds.of(asOf));
+		updateCapacity(known);
+		// A lagging list may still contain an endpoint that was lost after its reclaim
+		// notice.
+		if (known.state() == EndpointState.GONE && known.reclaimAt() == null
+				&& isBackoffOver(known, Seconds.of(asOf))) {
+			known.markLive();
 			service(definition.service()).add(known);
 		}
 	}
 
 	/**
-	 * Notes a reclaim notice: from now on the VM's endpoints get no new work.
+	 * Applies a reclaim notice: the VM's endpoints receive no new work.
 	 * @param vm the VM
-	 * @param reclaimAt when it is taken away
+	 * @param reclaimAt when the VM is reclaimed
 	 * @param now the current time
 	 */
 	public void markLeaving(VmId vm, Instant reclaimAt, Instant now) {
@@ -143,9 +148,9 @@
 	}
 
 	/**
-	 * Marks one endpoint as leaving: from now on it gets no new work.
+	 * Marks one endpoint as leaving: it receives no new work.
 	 * @param id the endpoint
-	 * @param reclaimAt when it is taken away
+	 * @param reclaimAt when its VM is reclaimed
 	 * @param now the current time
 	 */
 	public void markLeaving(EndpointId id, Instant reclaimAt, Instant now) {
@@ -153,12 +158,13 @@
 		if (endpoint == null) {
 			return;
 		}
-		takeOutOfService(endpoint, now);
-		endpoint.leave(reclaimAt);
+		removeFromService(endpoint, now);
+		endpoint.markLeaving(reclaimAt);
 	}
 
 	/**
-	 * Marks an endpoint as lost: its process or VM vanished with all that ran there.
+	 * Marks an endpoint as lost: its process or VM ended together with all running
+	 * attempts.
 	 * @param id the endpoint
 	 * @param now the current time
 	 */
@@ -167,9 +173,9 @@
 		if (endpoint == null) {
 			return;
 		}
-		takeOutOfService(endpoint, now);
+		removeFromService(endpoint, now);
 		service(endpoint.definition().service()).addOwnInFlight(-endpoint.ownInFlight());
-		endpoint.lost(Seconds.of(now));
+		endpoint.markGone(Seconds.of(now));
 	}
 
 	/**
@@ -182,14 +188,14 @@
 		if (endpoint == null) {
 			return;
 		}
-		takeOutOfService(endpoint, now);
+		removeFromService(endpoint, now);
 		service(endpoint.definition().service()).addOwnInFlight(-endpoint.ownInFlight());
-		endpoint.lost(Seconds.of(now));
+		endpoint.markGone(Seconds.of(now));
 		this.byVm.computeIfPresent(endpoint.definition().vm(), (vm, ids) -> without(ids, id));
 	}
 
 	/**
-	 * Returns an endpoint.
+	 * Finds an endpoint.
 	 * @param id the endpoint's identifier
 	 * @return the endpoint, empty if it is not in the table
 	 */
@@ -198,24 +204,24 @@
 	}
 
 	/**
-	 * Returns all endpoints in no order.
-	 * @return a view of the endpoints
+	 * Returns a read-only view of all endpoints, in no particular order.
+	 * @return the endpoints
 	 */
 	public Collection<Endpoint> all() {
 		return Collections.unmodifiableCollection(this.endpoints.values());
 	}
 
 	/**
-	 * Returns the endpoints of a VM.
+	 * Returns the identifiers of a VM's endpoints.
 	 * @param vm the VM
-	 * @return their identifiers
+	 * @return the identifiers
 	 */
 	public Set<EndpointId> onVm(VmId vm) {
 		return Collections.unmodifiableSet(this.byVm.getOrDefault(vm, Set.of()));
 	}
 
 	/**
-	 * Returns the endpoints of a service that take new work.
+	 * Returns the live endpoints of a service.
 	 * @param service the service
 	 * @return the endpoints
 	 */
@@ -229,7 +235,7 @@
 	}
 
 	/**
-	 * Returns how many endpoints of a service take new work.
+	 * Returns the number of live endpoints of a service.
 	 * @param service the service
 	 * @return the number of endpoints
 	 */
@@ -238,36 +244,37 @@
 	}
 
 	/**
-	 * Returns how many more requests a service's endpoints can take within their limits.
+	 * Returns the free capacity of a service's endpoints within their concurrency limits.
 	 * @param service the service
-	 * @return the number of requests, with fractions
+	 * @return the number of requests, possibly fractional
 	 */
 	public double freeCapacity(ServiceName service) {
 		return service(service).freeCapacity();
 	}
 
 	/**
-	 * Returns whether the limits of most of a service's endpoints are found. Before that
-	 * their free capacity grows with each answer, and is no measure for a wait.
+	 * Returns whether most of a service's endpoints are past slow start. During slow
+	 * start the free capacity grows with each answer, so a wait cannot be predicted from
+	 * it.
 	 * @param service the service
-	 * @return whether they are
+	 * @return {@code true} if most are past slow start
 	 */
 	public boolean isCapacityKnown(ServiceName service) {
 		return service(service).isCapacityKnown();
 	}
 
 	/**
-	 * Returns the mean time from sending an attempt to its first token, of late.
+	 * Returns the moving average of the time from sending an attempt to its first token.
 	 * @param service the service
-	 * @return the mean, zero if nothing is known yet
+	 * @return the average, zero without observations
 	 */
 	public Duration meanFirstToken(ServiceName service) {
 		return Seconds.toDuration(service(service).meanFirstToken());
 	}
 
 	/**
-	 * Returns the attempts of this entry that run at a service's endpoints, leaving ones
-	 * included.
+	 * Returns the number of this entry's attempts running at a service's endpoints,
+	 * including leaving endpoints.
 	 * @param service the service
 	 * @return the number of attempts
 	 */
@@ -276,43 +283,43 @@
 	}
 
 	/**
-	 * Returns when a request is to come back that no endpoint may take. The longer there
-	 * has been none, the longer it is likely to last.
+	 * Returns the retry delay of a request that no endpoint may serve. The longer the
+	 * service has had no endpoint, the longer the outage is likely to last.
 	 * @param service the service
-	 * @param profile the request's profile, whose deadline is the longest answer
+	 * @param profile the request's profile, whose deadline is the maximum delay
 	 * @param now the current time
-	 * @return the time to wait
+	 * @return the delay
 	 */
 	public Duration untilAnyEndpoint(ServiceName service, Profile profile, Instant now) {
 		ServiceEndpoints endpoints = service(service);
-		double missing = Seconds.of(now) - endpoints.emptySince();
-		double seconds = (Double.isNaN(missing) ? endpoints.soonestFirstToken() : missing);
-		double most = Seconds.of(profile.deadline());
-		return Seconds.toDuration(Math.clamp(seconds, SHORTEST_RETRY_SECONDS, most));
+		double secondsWithoutEndpoint = Seconds.of(now) - endpoints.emptySince();
+		double seconds = (Double.isNaN(secondsWithoutEndpoint) ? endpoints.minimumFirstTokenSeconds()
+				: secondsWithoutEndpoint);
+		double maximum = Seconds.of(profile.deadline());
+		return Seconds.toDuration(Math.clamp(seconds, MINIMUM_RETRY_AFTER_SECONDS, maximum));
 	}
 
 	/**
-	 * Takes in an endpoint's report of its load. An older report than the last is passed
-	 * over.
+	 * Applies an endpoint's load report. A report older than the last one is ignored.
 	 * @param id the endpoint
 	 * @param report the report
 	 */
 	public void loadReported(EndpointId id, LoadReport report) {
 		Endpoint endpoint = this.endpoints.get(id);
 		if (endpoint != null && endpoint.state() != EndpointState.GONE) {
-			endpoint.report(report);
-			recount(endpoint);
+			endpoint.updateLoad(report);
+			updateCapacity(endpoint);
 		}
 	}
 
 	/**
-	 * Takes in a cache event of an engine.
+	 * Applies a cache event of an engine.
 	 * @param id the engine
 	 * @param change the event
 	 */
 	public void cacheChanged(EndpointId id, CacheChange change) {
 		Endpoint endpoint = this.endpoints.get(id);
-		if (endpoint == null || !endpoint.cacheEvent(change.sequence())) {
+		if (endpoint == null || !endpoint.recordCacheEvent(change.sequence())) {
 			return;
 		}
 		PrefixIndex prefixes = service(endpoint.definition().service()).prefixes();
@@ -323,22 +330,22 @@
 	}
 
 	/**
-	 * Takes in how much a peer sent to an endpoint since it last said so.
+	 * Records the requests that a peer has sent to an endpoint since its previous report.
 	 * @param id the endpoint
-	 * @param count the requests sent
-	 * @param sentAt about when they were sent
+	 * @param count the number of requests
+	 * @param sentAt the approximate time of sending
 	 */
 	public void peerSent(EndpointId id, int count, Instant sentAt) {
 		Endpoint endpoint = this.endpoints.get(id);
 		if (endpoint != null) {
-			endpoint.sentByPeers(count, Seconds.of(sentAt));
-			recount(endpoint);
+			endpoint.recordSentByPeers(count, Seconds.of(sentAt));
+			updateCapacity(endpoint);
 		}
 	}
 
 	/**
-	 * Notes that an attempt was sent.
-	 * @param placed where it was placed
+	 * Records the start of an attempt.
+	 * @param placed the placement of the attempt
 	 * @param request the request
 	 * @param now the current time
 	 */
@@ -349,10 +356,11 @@
 		}
 		double firstTokenTarget = Seconds.of(request.profile().firstTokenTarget());
 		double tokenTarget = Seconds.of(request.profile().tokenTarget());
-		endpoint.start(request.request(), placed.uncachedTokens(), firstTokenTarget, tokenTarget, Seconds.of(now));
+		endpoint.startAttempt(request.request(), placed.uncachedTokens(), firstTokenTarget, tokenTarget,
+				Seconds.of(now));
 		ServiceEndpoints service = service(endpoint.definition().service());
 		service.addOwnInFlight(1);
-		service.recount(endpoint);
+		service.updateCapacity(endpoint);
 		PrefixIndex prefixes = service.prefixes();
 		for (PromptPrefix prefix : request.prefixes()) {
 			prefixes.stored(endpoint, prefix);
@@ -360,7 +368,7 @@
 	}
 
 	/**
-	 * Notes the first token of an attempt, or the answer of a plain service.
+	 * Records the first token of an attempt, or the answer of a plain service.
 	 * @param id the endpoint
 	 * @param request the request
 	 * @param now the current time
@@ -371,30 +379,30 @@
 			return;
 		}
 		double seconds = Seconds.of(now);
-		Attempt attempt = endpoint.firstToken(request, seconds);
-		recount(endpoint);
+		Attempt attempt = endpoint.recordFirstToken(request, seconds);
+		updateCapacity(endpoint);
 		if (attempt != null) {
 			service(endpoint.definition().service()).observeFirstToken(seconds - attempt.startedAt());
-			classSpeed(endpoint).observeFirstToken(attempt.workTokens(), seconds - attempt.startedAt());
+			classLatency(endpoint).observeFirstToken(attempt.workTokens(), seconds - attempt.startedAt());
 		}
 	}
 
 	/**
-	 * Notes tokens after the first.
+	 * Records tokens after the first.
 	 * @param id the endpoint
 	 * @param request the request
-	 * @param count how many tokens came
+	 * @param count the number of tokens received
 	 * @param now the current time
 	 */
 	public void tokensSeen(EndpointId id, RequestId request, int count, Instant now) {
 		Endpoint endpoint = this.endpoints.get(id);
 		if (endpoint != null) {
-			endpoint.tokens(request, count, Seconds.of(now));
+			endpoint.recordTokens(request, count, Seconds.of(now));
 		}
 	}
 
 	/**
-	 * Notes the end of an attempt.
+	 * Records the end of an attempt.
 	 * @param id the endpoint
 	 * @param request the request
 	 * @param outcome how it ended
@@ -405,53 +413,53 @@
 		if (endpoint == null) {
 			return;
 		}
-		Attempt attempt = endpoint.end(request, outcome, Seconds.of(now));
+		Attempt attempt = endpoint.endAttempt(request, outcome, Seconds.of(now));
 		if (attempt == null) {
 			return;
 		}
 		service(endpoint.definition().service()).addOwnInFlight(-1);
-		recount(endpoint);
+		updateCapacity(endpoint);
 		if (outcome == AttemptOutcome.COMPLETED && attempt.tokenCount() > 0) {
-			classSpeed(endpoint).observePerToken(attempt.concurrency(), attempt.secondsPerToken());
+			classLatency(endpoint).observePerToken(attempt.concurrency(), attempt.secondsPerToken());
 		}
 	}
 
-	private void listedElsewhere(List<EndpointDefinition> elsewhere, Instant asOf) {
-		Set<ServiceName> served = new HashSet<>();
+	private void applyRemote(List<EndpointDefinition> remote, Instant asOf) {
+		Set<ServiceName> servedLocally = new HashSet<>();
 		for (Endpoint endpoint : this.endpoints.values()) {
 			if (endpoint.isLive() && this.region.contains(endpoint.dataCenter())) {
-				served.add(endpoint.definition().service());
+				servedLocally.add(endpoint.definition().service());
 			}
 		}
 		Map<ServiceName, List<EndpointDefinition>> needed = new HashMap<>();
-		for (EndpointDefinition definition : elsewhere) {
+		for (EndpointDefinition definition : remote) {
 			Endpoint known = this.endpoints.get(definition.id());
-			if (!served.contains(definition.service())) {
+			if (!servedLocally.contains(definition.service())) {
 				needed.computeIfAbsent(definition.service(), (name) -> new ArrayList<>()).add(definition);
 			}
 			else if (known != null && known.ownInFlight() == 0) {
 				remove(definition.id(), asOf);
 			}
 		}
-		needed.values().forEach((definitions) -> meet(definitions, asOf));
+		needed.values().forEach((definitions) -> addRemote(definitions, asOf));
 	}
 
-	// Puts those of the lowest hashes first, so that the same ones are met again with
-	// the next list and what was learned of them is kept.
-	private void meet(List<EndpointDefinition> definitions, Instant asOf) {
+	// Selects the endpoints with the lowest hashes, so that the next list selects the
+	// same ones and their observed state is kept.
+	private void addRemote(List<EndpointDefinition> definitions, Instant asOf) {
 		definitions.sort(Comparator.comparingLong((EndpointDefinition definition) -> hash(definition.id()))
 			.thenComparing(EndpointDefinition::id));
 		definitions.removeIf((definition) -> this.notices.containsKey(definition.vm()));
-		definitions.stream().limit(MOST_ELSEWHERE).forEach((definition) -> put(definition, asOf));
+		definitions.stream().limit(MAXIMUM_REMOTE_ENDPOINTS).forEach((definition) -> put(definition, asOf));
 	}
 
 	private long hash(EndpointId id) {
-		long mixed = (this.salt ^ id.hashCode()) * 0x9E3779B97F4A7C15L;
-		return mixed ^ (mixed >>> 32);
+		long hash = (this.salt ^ id.hashCode()) * 0x9E3779B97F4A7C15L;
+		return hash ^ (hash >>> 32);
 	}
 
-	private void recount(Endpoint endpoint) {
-		service(endpoint.definition().service()).recount(endpoint);
+	private void updateCapacity(Endpoint endpoint) {
+		service(endpoint.definition().service()).updateCapacity(endpoint);
 	}
 
 	ServiceEndpoints service(ServiceName service) {
@@ -459,57 +467,58 @@
 	}
 
 	private void add(EndpointDefinition listed) {
-		EndpointDefinition definition = this.names.share(listed);
+		EndpointDefinition definition = this.interner.intern(listed);
 		Endpoint endpoint = new Endpoint(definition);
-		endpoint.speed().startFrom(classSpeed(endpoint));
+		endpoint.latency().initializeFrom(classLatency(endpoint));
 		this.endpoints.put(definition.id(), endpoint);
 		this.byVm.merge(definition.vm(), Set.of(definition.id()), EndpointTable::with);
 		Instant notice = this.notices.get(definition.vm());
 		if (notice != null) {
-			endpoint.leave(notice);
+			endpoint.markLeaving(notice);
 			return;
 		}
 		service(definition.service()).add(endpoint);
 	}
 
-	private void renew(Endpoint endpoint, EndpointDefinition listed) {
+	private void update(Endpoint endpoint, EndpointDefinition listed) {
 		EndpointDefinition old = endpoint.definition();
 		if (old.equals(listed)) {
 			return;
 		}
-		EndpointDefinition definition = this.names.share(listed);
+		EndpointDefinition definition = this.interner.intern(listed);
 		service(old.service()).addOwnInFlight(-endpoint.ownInFlight());
 		service(definition.service()).addOwnInFlight(endpoint.ownInFlight());
 		if (!endpoint.isLive()) {
-			endpoint.redefine(definition);
+			endpoint.updateDefinition(definition);
 			return;
 		}
 		service(old.service()).remove(endpoint, endpoint.goneAt());
-		endpoint.redefine(definition);
+		endpoint.updateDefinition(definition);
 		service(definition.service()).add(endpoint);
 	}
 
-	private void takeOutOfService(Endpoint endpoint, Instant now) {
+	private void removeFromService(Endpoint endpoint, Instant now) {
 		if (endpoint.isLive()) {
 			service(endpoint.definition().service()).remove(endpoint, Seconds.of(now));
 		}
 	}
 
-	private SpeedEstimate classSpeed(Endpoint endpoint) {
+	private LatencyEstimate classLatency(Endpoint endpoint) {
 		EndpointDefinition definition = endpoint.definition();
 		ClassKey key = new ClassKey(definition.service(), definition.machineClass());
-		return this.classSpeeds.computeIfAbsent(key, (unused) -> new SpeedEstimate());
+		return this.classLatencies.computeIfAbsent(key, (unused) -> new LatencyEstimate());
 	}
 
-	private static boolean isPauseOver(Endpoint endpoint, double asOf) {
-		// A process that crashes on every start stays listed as long as its VM lives,
-		// so the pause grows.
-		int doublings = Math.min(MOST_DOUBLINGS, endpoint.lossesInRow() - 1);
-		double pause = Seconds.of(FIRST_PAUSE) * (1 << Math.max(0, doublings));
-		return asOf >= endpoint.goneAt() + pause;
+	private static boolean isBackoffOver(Endpoint endpoint, double asOf) {
+		// A process that crashes on every start stays listed for as long as its VM runs,
+		// so the backoff grows.
+		int doublings = Math.min(MAXIMUM_BACKOFF_DOUBLINGS, endpoint.consecutiveLosses() - 1);
+		double backoffSeconds = Seconds.of(INITIAL_BACKOFF) * (1 << Math.max(0, doublings));
+		return asOf >= endpoint.goneAt() + backoffSeconds;
 	}
 
-	// Most VMs have one endpoint, and an immutable set of one is a fifth as large.
+	// Most VMs have one endpoint, and an immutable set of one element takes a fifth of
+	// the memory.
 	private static Set<EndpointId> with(Set<EndpointId> ids, Set<EndpointId> more) {
 		Set<EndpointId> all = new HashSet<>(ids);
 		all.addAll(more);
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/LeastInFlightPolicy.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/LeastInFlightPolicy.java
@@ -3,8 +3,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes the endpoint with the fewest requests in flight among those drawn. A baseline to
- * measure against.
+ * Chooses the endpoint with the fewest requests in flight among a sample. Serves as a
+ * baseline for comparisons.
  */
 final class LeastInFlightPolicy implements PlacementPolicy {
 
@@ -20,7 +20,7 @@
 	@Override
 	public @Nullable Choice choose(PlacementRequest request, ServiceEndpoints endpoints, double now) {
 		this.candidates.clear(request.excluded());
-		this.selector.addAnywhere(endpoints.live(), this.candidates);
+		this.selector.addGlobal(endpoints.live(), this.candidates);
 		Endpoint least = null;
 		for (int i = 0; i < this.candidates.size(); i++) {
 			Endpoint endpoint = this.candidates.endpoint(i);
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/LinearEstimate.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/LinearRegression.java
@@ -1,16 +1,16 @@
 package org.banyancove.core.routing;
 
 /**
- * A line through recent observations, the older the less they count.
+ * A linear regression over recent observations with exponentially decaying weights.
  * <p>
- * Both coefficients are kept from going negative: more work never takes less time.
+ * Neither coefficient becomes negative, since more work never takes less time.
  */
-final class LinearEstimate {
+final class LinearRegression {
 
 	private static final double DECAY = 0.98;
 
-	/** Weight below which a spread of observations says nothing of the slope. */
-	private static final double SMALLEST_VARIANCE = 1e-6;
+	/** Relative variance below which the observations do not determine a slope. */
+	private static final double MINIMUM_RELATIVE_VARIANCE = 1e-6;
 
 	private double weight;
 
@@ -27,11 +27,12 @@
 	private double intercept;
 
 	/**
-	 * Starts from another estimate, which counts as much as a few observations.
-	 * @param other the estimate to start from
-	 * @param observations how many observations it counts for at most
+	 * Initializes this regression from another one, which is weighted like a few
+	 * observations.
+	 * @param other the regression to copy
+	 * @param observations the maximum weight of the copy, as a number of observations
 	 */
-	void startFrom(LinearEstimate other, double observations) {
+	void initializeFrom(LinearRegression other, double observations) {
 		if (other.weight == 0) {
 			return;
 		}
@@ -57,7 +58,7 @@
 		return this.weight == 0;
 	}
 
-	double at(double x) {
+	double predict(double x) {
 		return this.intercept + this.slope * x;
 	}
 
@@ -66,7 +67,7 @@
 		double meanY = this.sumY / this.weight;
 		double variance = this.sumXX / this.weight - meanX * meanX;
 		double covariance = this.sumXY / this.weight - meanX * meanY;
-		if (variance <= SMALLEST_VARIANCE * (1 + meanX * meanX)) {
+		if (variance <= MINIMUM_RELATIVE_VARIANCE * (1 + meanX * meanX)) {
 			fitThroughOrigin(meanX, meanY);
 			return;
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/LoadReport.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/LoadReport.java
@@ -3,14 +3,14 @@
 import java.time.Instant;
 
 /**
- * An endpoint's own report of its load, which lags behind the truth.
+ * The load reported by an endpoint, which lags behind its actual load.
  *
- * @param asOf the time that the report stands for
- * @param running the requests in the batch
- * @param queued the requests that wait for a place in the batch
- * @param tokensPerSecond the tokens generated a second
- * @param kvUsed the tokens held in the KV cache
- * @param kvLimit the tokens that the KV cache can hold, 0 if unknown
+ * @param asOf the time at which the report is valid
+ * @param running the number of requests in the batch
+ * @param queued the number of requests waiting for a slot in the batch
+ * @param tokensPerSecond the tokens generated per second
+ * @param kvUsed the number of tokens in the KV cache
+ * @param kvLimit the capacity of the KV cache in tokens, 0 if unknown
  */
 public record LoadReport(Instant asOf, int running, int queued, double tokensPerSecond, long kvUsed, long kvLimit) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/SharedNames.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/NameInterner.java
@@ -9,10 +9,10 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * One object for each of the few names that many endpoints have in common. Each read of
- * the platform's list brings its own.
+ * Interns the names that many endpoints share, since each read of the platform's list
+ * creates new instances.
  */
-final class SharedNames {
+final class NameInterner {
 
 	private final Map<DataCenterName, DataCenterName> dataCenters = new HashMap<>();
 
@@ -22,16 +22,16 @@
 
 	private final Map<ServiceName, ServiceName> services = new HashMap<>();
 
-	EndpointDefinition share(EndpointDefinition definition) {
+	EndpointDefinition intern(EndpointDefinition definition) {
 		return new EndpointDefinition(definition.id(), definition.vm(),
-				shared(this.dataCenters, definition.dataCenter()), shared(this.zones, definition.zone()),
-				shared(this.classes, definition.machineClass()), shared(this.services, definition.service()),
+				interned(this.dataCenters, definition.dataCenter()), interned(this.zones, definition.zone()),
+				interned(this.classes, definition.machineClass()), interned(this.services, definition.service()),
 				definition.address(), definition.pricePerHour());
 	}
 
-	private static <T> T shared(Map<T, T> known, T name) {
-		T first = known.putIfAbsent(name, name);
-		return ((first != null) ? first : name);
+	private static <T> T interned(Map<T, T> instances, T name) {
+		T existing = instances.putIfAbsent(name, name);
+		return ((existing != null) ? existing : name);
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementDecision.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementDecision.java
@@ -6,17 +6,17 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Where a request goes, or why it goes nowhere.
+ * The result of placing a request.
  */
 public sealed interface PlacementDecision {
 
 	/**
-	 * The request goes to an endpoint.
+	 * The request is sent to an endpoint.
 	 *
 	 * @param endpoint the endpoint
-	 * @param firstToken the predicted time to the first token, zero if unknown
+	 * @param firstToken the predicted time to first token, zero if unknown
 	 * @param perToken the predicted time between tokens, zero if unknown
-	 * @param uncachedTokens the tokens of the prompt that the endpoint must compute
+	 * @param uncachedTokens the prompt tokens that the endpoint must compute
 	 */
 	record Placed(EndpointId endpoint, Duration firstToken, Duration perToken,
 			int uncachedTokens) implements PlacementDecision {
@@ -25,8 +25,8 @@
 	/**
 	 * No endpoint can serve the request in time.
 	 *
-	 * @param kind the kind of error to answer with
-	 * @param retryAfter when to come back, computed from the backlog
+	 * @param kind the kind of error to return
+	 * @param retryAfter the retry delay, computed from the backlog
 	 */
 	record Refused(ErrorKind kind, Duration retryAfter) implements PlacementDecision {
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementRequest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementRequest.java
@@ -13,19 +13,18 @@
 import org.banyancove.core.profile.Profile;
 
 /**
- * A request that needs an endpoint.
+ * A request to be placed on an endpoint.
  *
  * @param request the request's identifier
- * @param account the account that it belongs to
- * @param service the service that it asks for
+ * @param account the account of the caller
+ * @param service the requested service
  * @param profile the profile under which it was accepted
- * @param prefixes the prefixes of its prompt, the shortest first; empty for a plain
- * service
- * @param promptTokens the tokens of its prompt; 1 for a plain service
- * @param outputTokens the tokens expected in its answer; 0 for a plain service
- * @param excluded the endpoints that must not get it, such as those that failed it
+ * @param prefixes the prefixes of its prompt, shortest first; empty for a plain service
+ * @param promptTokens the number of tokens in its prompt; 1 for a plain service
+ * @param outputTokens the expected number of tokens in its answer; 0 for a plain service
+ * @param excluded the endpoints that must not receive it, such as those that failed it
  * @param acceptedAt when the request was accepted
- * @param dataCenter the data center to prefer, mostly the entry's own
+ * @param dataCenter the preferred data center, usually that of the entry
  */
 public record PlacementRequest(RequestId request, AccountName account, ServiceName service, Profile profile,
 		List<PromptPrefix> prefixes, int promptTokens, int outputTokens, Set<EndpointId> excluded, Instant acceptedAt,
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementSettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementSettings.java
@@ -1,18 +1,19 @@
 package org.banyancove.core.routing;
 
 /**
- * What operators can weigh in the placement at lowest cost.
+ * Settings of the cost-based placement.
  *
  * @param margin the share of the latency target that a prediction may use, above 0 and at
  * most 1
- * @param promptWeight how much dearer than its time the computing of a prompt is counted,
- * from 1 to 100; more saves recomputed tokens and costs somewhat more at low load
+ * @param promptWeight the factor by which the cost of prompt computation is multiplied,
+ * from 1 to 100; a higher weight reduces recomputed tokens at a slightly higher cost
+ * under low load
  */
 public record PlacementSettings(double margin, double promptWeight) {
 
-	private static final double MOST_PROMPT_WEIGHT = 100;
+	private static final double MAXIMUM_PROMPT_WEIGHT = 100;
 
-	/** The settings that cost least. */
+	/** The settings with the lowest cost. */
 	public static final PlacementSettings DEFAULT = new PlacementSettings(0.8, 1);
 
 	/**
@@ -23,7 +24,7 @@
 		if (!(margin > 0 && margin <= 1)) {
 			throw new IllegalArgumentException("margin must be above 0 and at most 1: " + margin);
 		}
-		if (!(promptWeight >= 1 && promptWeight <= MOST_PROMPT_WEIGHT)) {
+		if (!(promptWeight >= 1 && promptWeight <= MAXIMUM_PROMPT_WEIGHT)) {
 			throw new IllegalArgumentException("promptWeight must be from 1 to 100: " + promptWeight);
 		}
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementSystem.java
@@ -11,13 +11,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Places requests on endpoints by the policy that their profile chooses.
+ * Places requests on endpoints by the policy of their profile.
  * <p>
- * Belongs to the tick loop; not safe for use by several threads.
+ * Confined to the tick loop; not thread-safe.
  */
 public final class PlacementSystem {
 
-	private static final Duration SHORTEST_RETRY = Duration.ofMillis(100);
+	private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(100);
 
 	private final EndpointTable table;
 
@@ -35,7 +35,7 @@
 	 * Creates the system with the default settings.
 	 * @param table the endpoints
 	 * @param clock the clock
-	 * @param random draws endpoints
+	 * @param random the source of random numbers for selecting endpoints
 	 */
 	public PlacementSystem(EndpointTable table, InstantSource clock, RandomGenerator random) {
 		this(table, clock, random, PlacementSettings.DEFAULT);
@@ -45,8 +45,8 @@
 	 * Creates the system.
 	 * @param table the endpoints
 	 * @param clock the clock
-	 * @param random draws endpoints
-	 * @param settings what the placement at lowest cost weighs
+	 * @param random the source of random numbers for selecting endpoints
+	 * @param settings the settings of the cost-based placement
 	 */
 	public PlacementSystem(EndpointTable table, InstantSource clock, RandomGenerator random,
 			PlacementSettings settings) {
@@ -61,10 +61,10 @@
 	}
 
 	/**
-	 * Places a request. The caller tells the table by
-	 * {@link EndpointTable#attemptStarted} once it sends the attempt.
+	 * Places a request. The caller must call {@link EndpointTable#attemptStarted} when it
+	 * sends the attempt.
 	 * @param request the request
-	 * @return where it goes, or why it goes nowhere
+	 * @return the endpoint, or the reason for the refusal
 	 */
 	public PlacementDecision place(PlacementRequest request) {
 		Instant instant = this.clock.instant();
@@ -80,14 +80,14 @@
 				endpoint.id(), endpoint.state());
 		Invariant.check(!request.excluded().contains(endpoint.id()), "request %s placed on its excluded endpoint %s",
 				request.request(), endpoint.id());
-		double uncached = Math.max(1, request.promptTokens() - choice.cachedTokens());
-		double firstToken = endpoint.predictFirstToken(uncached);
-		Duration late = tooLate(request, firstToken, now);
-		if (late != null) {
-			return new PlacementDecision.Refused(ErrorKind.OVERLOADED, late);
+		double uncachedTokens = Math.max(1, request.promptTokens() - choice.cachedTokens());
+		double firstToken = endpoint.predictFirstToken(uncachedTokens);
+		Duration retryAfter = retryAfterIfTooLate(request, firstToken, now);
+		if (retryAfter != null) {
+			return new PlacementDecision.Refused(ErrorKind.OVERLOADED, retryAfter);
 		}
 		return new PlacementDecision.Placed(endpoint.id(), Seconds.toDuration(firstToken),
-				Seconds.toDuration(endpoint.predictPerToken()), (int) Math.round(uncached));
+				Seconds.toDuration(endpoint.predictPerToken()), (int) Math.round(uncachedTokens));
 	}
 
 	private PlacementPolicy policy(PlacementPolicyName name) {
@@ -99,20 +99,19 @@
 		};
 	}
 
-	private static @Nullable Duration tooLate(PlacementRequest request, double firstToken, double now) {
-		// Returns when to come back if even the first token would come after the
-		// deadline: when the backlog has shrunk by as much as it is too long for the
-		// target.
-		double waited = Math.max(0, now - Seconds.of(request.acceptedAt()));
-		if (waited + firstToken <= Seconds.of(request.profile().deadline())) {
+	private static @Nullable Duration retryAfterIfTooLate(PlacementRequest request, double firstToken, double now) {
+		// Returns the retry delay if the first token is predicted after the deadline: the
+		// time by which the backlog exceeds the target.
+		double waitedSeconds = Math.max(0, now - Seconds.of(request.acceptedAt()));
+		if (waitedSeconds + firstToken <= Seconds.of(request.profile().deadline())) {
 			return null;
 		}
-		double excess = firstToken - Seconds.of(request.profile().firstTokenTarget());
-		return atLeastShortest(Seconds.toDuration(Math.max(0, excess)));
+		double excessSeconds = firstToken - Seconds.of(request.profile().firstTokenTarget());
+		return atLeastMinimum(Seconds.toDuration(Math.max(0, excessSeconds)));
 	}
 
-	private static Duration atLeastShortest(Duration duration) {
-		return ((duration.compareTo(SHORTEST_RETRY) < 0) ? SHORTEST_RETRY : duration);
+	private static Duration atLeastMinimum(Duration duration) {
+		return ((duration.compareTo(MINIMUM_RETRY_AFTER) < 0) ? MINIMUM_RETRY_AFTER : duration);
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PrefixIndex.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PrefixIndex.java
@@ -6,48 +6,48 @@
 import java.util.Map;
 
 /**
- * Which endpoints are thought to hold which prompt prefix in their cache.
+ * Index of the endpoints that probably have a prompt prefix in their cache.
  * <p>
- * Engines tell late and with gaps, so this is a guess: placement uses it to weigh cost,
- * never to decide what is right. A prefix counts as held as soon as this entry sent a
- * prompt with it. A gap in an engine's events changes nothing: one of the lost events may
- * have been an eviction, but counting the older entries half, or not at all, was measured
- * to recompute more than it spared. Bounded: the prefixes not asked for longest are
- * forgotten first.
+ * Cache events arrive late and may be lost, so the index is approximate: placement uses
+ * it for cost estimates only, never for correctness. A prefix counts as cached as soon as
+ * this entry has sent a prompt with it. A gap in an engine's events leaves the index
+ * unchanged: a lost event may have been an eviction, but reducing the weight of older
+ * entries, or ignoring them, recomputes more tokens than it saves. The size is bounded;
+ * the least recently used prefixes are evicted first.
  */
 final class PrefixIndex {
 
-	static final int MOST_PREFIXES = 20_000;
+	static final int MAXIMUM_PREFIXES = 20_000;
 
-	private static final int MOST_HOLDERS = 8;
+	private static final int MAXIMUM_HOLDERS = 8;
 
-	private static final CacheLife[] NONE = {};
+	private static final CacheGeneration[] NO_HOLDERS = {};
 
-	private final Map<Long, CacheLife[]> holders = new LinkedHashMap<>(16, 0.75f, true) {
+	private final Map<Long, CacheGeneration[]> holders = new LinkedHashMap<>(16, 0.75f, true) {
 		@Override
-		protected boolean removeEldestEntry(Map.Entry<Long, CacheLife[]> eldest) {
-			return size() > MOST_PREFIXES;
+		protected boolean removeEldestEntry(Map.Entry<Long, CacheGeneration[]> eldest) {
+			return size() > MAXIMUM_PREFIXES;
 		}
 	};
 
 	void stored(Endpoint endpoint, PromptPrefix prefix) {
-		CacheLife[] known = this.holders.getOrDefault(prefix.digest(), NONE);
-		if (known.length > 0 && known[known.length - 1] == endpoint.cacheLife()) {
+		CacheGeneration[] current = this.holders.getOrDefault(prefix.digest(), NO_HOLDERS);
+		if (current.length > 0 && current[current.length - 1] == endpoint.cacheGeneration()) {
 			return;
 		}
-		CacheLife[] others = without(known, endpoint);
-		int dropped = ((others.length == MOST_HOLDERS) ? 1 : 0);
-		CacheLife[] all = Arrays.copyOfRange(others, dropped, others.length + 1);
-		all[all.length - 1] = endpoint.cacheLife();
+		CacheGeneration[] others = without(current, endpoint);
+		int dropped = ((others.length == MAXIMUM_HOLDERS) ? 1 : 0);
+		CacheGeneration[] all = Arrays.copyOfRange(others, dropped, others.length + 1);
+		all[all.length - 1] = endpoint.cacheGeneration();
 		this.holders.put(prefix.digest(), all);
 	}
 
 	void evicted(Endpoint endpoint, PromptPrefix prefix) {
-		CacheLife[] known = this.holders.get(prefix.digest());
-		if (known == null) {
+		CacheGeneration[] current = this.holders.get(prefix.digest());
+		if (current == null) {
 			return;
 		}
-		CacheLife[] others = without(known, endpoint);
+		CacheGeneration[] others = without(current, endpoint);
 		if (others.length == 0) {
 			this.holders.remove(prefix.digest());
 		}
@@ -57,14 +57,15 @@
 	}
 
 	/**
-	 * Adds the endpoints that hold a part of a prompt.
-	 * @param prefixes the prompt's prefixes, the shortest first
-	 * @param candidates where to add them, with the tokens that they hold
+	 * Adds the endpoints that have a prefix of a prompt cached.
+	 * @param prefixes the prompt's prefixes, shortest first
+	 * @param candidates the candidates to which the endpoints are added with their cached
+	 * tokens
 	 */
 	void addHolders(List<PromptPrefix> prefixes, Candidates candidates) {
 		for (int i = prefixes.size() - 1; i >= 0 && !candidates.isFull(); i--) {
 			PromptPrefix prefix = prefixes.get(i);
-			for (CacheLife holder : this.holders.getOrDefault(prefix.digest(), NONE)) {
+			for (CacheGeneration holder : this.holders.getOrDefault(prefix.digest(), NO_HOLDERS)) {
 				if (holder.isCurrent()) {
 					candidates.add(holder.endpoint(), prefix.tokens());
 				}
@@ -73,14 +74,14 @@
 	}
 
 	/**
-	 * Returns the tokens of a prompt that an endpoint is thought to hold.
-	 * @param prefixes the prompt's prefixes, the shortest first
+	 * Returns the estimated number of prompt tokens that an endpoint has cached.
+	 * @param prefixes the prompt's prefixes, shortest first
 	 * @param endpoint the endpoint
-	 * @return the tokens
+	 * @return the number of tokens
 	 */
 	double cachedTokens(List<PromptPrefix> prefixes, Endpoint endpoint) {
 		for (int i = prefixes.size() - 1; i >= 0; i--) {
-			for (CacheLife holder : this.holders.getOrDefault(prefixes.get(i).digest(), NONE)) {
+			for (CacheGeneration holder : this.holders.getOrDefault(prefixes.get(i).digest(), NO_HOLDERS)) {
 				if (holder.endpoint() == endpoint && holder.isCurrent()) {
 					return prefixes.get(i).tokens();
 				}
@@ -93,11 +94,11 @@
 		return this.holders.size();
 	}
 
-	// Returns the holders that live, without one.
-	private static CacheLife[] without(CacheLife[] known, Endpoint endpoint) {
-		CacheLife[] others = new CacheLife[known.length];
+	// Returns the live holders except for one endpoint.
+	private static CacheGeneration[] without(CacheGeneration[] current, Endpoint endpoint) {
+		CacheGeneration[] others = new CacheGeneration[current.length];
 		int count = 0;
-		for (CacheLife holder : known) {
+		for (CacheGeneration holder : current) {
 			if (holder.endpoint() != endpoint && holder.endpoint().isLive() && holder.isCurrent()) {
 				others[count] = holder;
 				count++;
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PromptPrefix.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PromptPrefix.java
@@ -1,10 +1,10 @@
 package org.banyancove.core.routing;
 
 /**
- * The beginning of a prompt, by which engines tell what their cache holds.
+ * A prefix of a prompt, the unit in which engines report their cache contents.
  *
  * @param digest the first 64 bits of the prefix's SHA-256 digest
- * @param tokens the tokens in the prefix, positive
+ * @param tokens the number of tokens in the prefix, positive
  */
 public record PromptPrefix(long digest, int tokens) {
 
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * Creates the prefix from the digest's text.
+	 * Creates the prefix from a hexadecimal digest.
 	 * @param digest 16 hexadecimal digits
-	 * @param tokens the tokens in the prefix
+	 * @param tokens the number of tokens in the prefix
 	 * @return the prefix
 	 * @throws IllegalArgumentException if the digest is not hexadecimal
 	 */
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/RoundRobinPolicy.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/RoundRobinPolicy.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes the endpoints of a service in turn. A baseline to measure against.
+ * Chooses the endpoints of a service in turn. Serves as a baseline for comparisons.
  */
 final class RoundRobinPolicy implements PlacementPolicy {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/Seconds.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/Seconds.java
@@ -4,28 +4,28 @@
 import java.time.Instant;
 
 /**
- * Conversions to the seconds that estimates are computed in.
+ * Conversions to seconds, the unit of all estimates.
  * <p>
- * A {@code double} tells times of this century apart to a quarter of a microsecond, and
- * takes 8 bytes where an {@link Instant} takes 24 and an allocation.
+ * A {@code double} represents times of this century to a quarter of a microsecond. It
+ * takes 8 bytes, whereas an {@link Instant} takes 24 bytes and an allocation.
  */
 final class Seconds {
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private Seconds() {
 	}
 
 	static double of(Instant instant) {
-		return instant.getEpochSecond() + instant.getNano() / NANOS;
+		return instant.getEpochSecond() + instant.getNano() / NANOS_PER_SECOND;
 	}
 
 	static double of(Duration duration) {
-		return duration.getSeconds() + duration.getNano() / NANOS;
+		return duration.getSeconds() + duration.getNano() / NANOS_PER_SECOND;
 	}
 
 	static Duration toDuration(double seconds) {
-		return Duration.ofNanos(Math.round(seconds * NANOS));
+		return Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/ServiceEndpoints.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/ServiceEndpoints.java
@@ -8,7 +8,7 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * The endpoints of one service that take new work, indexed for placement.
+ * The live endpoints of a service, indexed for placement.
  */
 final class ServiceEndpoints {
 
@@ -26,7 +26,7 @@
 
 	private double freeCapacity;
 
-	private int limitsFound;
+	private int pastSlowStartCount;
 
 	private double meanFirstToken;
 
@@ -36,14 +36,14 @@
 		this.live.add(endpoint);
 		pool(endpoint).endpoints().add(endpoint);
 		this.emptySince = NEVER;
-		recount(endpoint);
+		updateCapacity(endpoint);
 	}
 
 	void remove(Endpoint endpoint, double now) {
 		this.live.remove(endpoint);
-		this.freeCapacity -= endpoint.countedFree();
-		this.limitsFound -= (endpoint.isCountedFound() ? 1 : 0);
-		endpoint.countFree(0, false);
+		this.freeCapacity -= endpoint.lastFreeCapacity();
+		this.pastSlowStartCount -= (endpoint.wasPastSlowStart() ? 1 : 0);
+		endpoint.recordCapacity(0, false);
 		EndpointPool pool = pool(endpoint);
 		pool.endpoints().remove(endpoint);
 		if (pool.endpoints().isEmpty()) {
@@ -61,24 +61,24 @@
 	/**
 	 * Returns the pools of a data center.
 	 * @param dataCenter the data center
-	 * @return its pools, the cheapest first
+	 * @return the pools, cheapest first
 	 */
 	List<EndpointPool> poolsOf(DataCenterName dataCenter) {
 		return this.pools.computeIfAbsent(dataCenter, (name) -> new ArrayList<>());
 	}
 
 	/**
-	 * Brings the service's free capacity up to date after a change of an endpoint, so
-	 * that it need not be summed over all endpoints.
-	 * @param endpoint the endpoint that changed
+	 * Updates the service's free capacity after a change of an endpoint, which avoids
+	 * summing over all endpoints.
+	 * @param endpoint the changed endpoint
 	 */
-	void recount(Endpoint endpoint) {
+	void updateCapacity(Endpoint endpoint) {
 		if (endpoint.isLive()) {
-			double free = endpoint.freeRoom();
-			this.freeCapacity += free - endpoint.countedFree();
-			boolean found = endpoint.isLimitFound();
-			this.limitsFound += (found ? 1 : 0) - (endpoint.isCountedFound() ? 1 : 0);
-			endpoint.countFree(free, found);
+			double freeSlots = endpoint.freeSlots();
+			this.freeCapacity += freeSlots - endpoint.lastFreeCapacity();
+			boolean pastSlowStart = endpoint.isPastSlowStart();
+			this.pastSlowStartCount += (pastSlowStart ? 1 : 0) - (endpoint.wasPastSlowStart() ? 1 : 0);
+			endpoint.recordCapacity(freeSlots, pastSlowStart);
 		}
 	}
 
@@ -92,12 +92,12 @@
 	}
 
 	/**
-	 * Returns whether the limits of most endpoints are found, so that the free capacity
-	 * says what they carry.
-	 * @return whether they are
+	 * Returns whether most endpoints are past slow start, so that the free capacity
+	 * reflects their actual capacity.
+	 * @return {@code true} if most are past slow start
 	 */
 	boolean isCapacityKnown() {
-		return this.limitsFound * 2 > this.live.size();
+		return this.pastSlowStartCount * 2 > this.live.size();
 	}
 
 	double freeCapacity() {
@@ -116,13 +116,13 @@
 		return this.prefixes;
 	}
 
-	double soonestFirstToken() {
-		double soonest = 0;
-		for (int i = 0; i < Math.min(this.live.size(), Candidates.MOST); i++) {
+	double minimumFirstTokenSeconds() {
+		double minimum = 0;
+		for (int i = 0; i < Math.min(this.live.size(), Candidates.MAXIMUM_SIZE); i++) {
 			double seconds = this.live.get(i).predictFirstToken(1);
-			soonest = ((i == 0) ? seconds : Math.min(soonest, seconds));
+			minimum = ((i == 0) ? seconds : Math.min(minimum, seconds));
 		}
-		return soonest;
+		return minimum;
 	}
 
 	double emptySince() {
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/TwoChoicesPolicy.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/TwoChoicesPolicy.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes the less loaded of two endpoints drawn at random. A baseline to measure against.
+ * Chooses the less loaded of two random endpoints. Serves as a baseline for comparisons.
  */
 final class TwoChoicesPolicy implements PlacementPolicy {
 
@@ -17,16 +17,16 @@
 
 	@Override
 	public @Nullable Choice choose(PlacementRequest request, ServiceEndpoints endpoints, double now) {
-		Endpoint first = draw(request, endpoints.live(), null);
+		Endpoint first = sample(request, endpoints.live(), null);
 		if (first == null) {
 			return null;
 		}
-		Endpoint second = draw(request, endpoints.live(), first);
+		Endpoint second = sample(request, endpoints.live(), first);
 		Endpoint chosen = ((second != null && second.inFlight() < first.inFlight()) ? second : first);
 		return new Choice(chosen, endpoints.prefixes().cachedTokens(request.prefixes(), chosen));
 	}
 
-	private @Nullable Endpoint draw(PlacementRequest request, EndpointGroup live, @Nullable Endpoint other) {
+	private @Nullable Endpoint sample(PlacementRequest request, EndpointGroup live, @Nullable Endpoint other) {
 		if (live.isEmpty()) {
 			return null;
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Endpoints, what is known of them, and the placement of requests on them.
+ * Endpoints, their observed state, and the placement of requests on them.
  * <p>
- * Everything here is pure and runs on the one thread of the tick loop.
+ * All classes are free of I/O and run on the single thread of the tick loop.
  */
 @NullMarked
 package org.banyancove.core.routing;
--- a/banyancove-core/src/test/java/org/banyancove/core/admission/AdmissionSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/admission/AdmissionSystemTests.java
@@ -43,11 +43,12 @@
 
 	private final AdmissionSystem system = new AdmissionSystem(this.table, (InstantSource) () -> this.now);
 
-	// A large account sends first and fills the endpoints and the queue; a small one
-	// sends one request after it. As places fall free the small one is next, since
-	// the large one runs more than its share while another waits.
+	// Guards against starvation of a small account: a large account fills the endpoints
+	// and the queue before the small one sends a request. The next released slot goes to
+	// the small account, since the large one exceeds its share while another account is
+	// waiting.
 	@Test
-	void aLargeAccountDoesNotStarveASmallOne() {
+	void largeAccountDoesNotStarveSmallAccount() {
 		endpoints(2);
 		for (int i = 0; i < 40; i++) {
 			offer("large-" + i, "large");
@@ -59,7 +60,7 @@
 	}
 
 	@Test
-	void accountsThatWaitTakeTurns() {
+	void waitingAccountsAreServedInTurn() {
 		endpoints(1);
 		for (int i = 0; i < 8; i++) {
 			offer("a-" + i, "a");
@@ -72,11 +73,11 @@
 		assertThat(order).containsExactly("a-0", "b-0", "a-1", "b-1", "a-2", "b-2", "a-3", "b-3");
 	}
 
-	// Callers send more than the endpoints can ever serve. Each of those that are too
-	// many is told at once, with a time that grows with the backlog that it met; none
-	// waits until its deadline only to be refused.
+	// Guards against requests that wait until their deadline only to be refused: callers
+	// send more than the endpoints can serve. Excess requests are refused immediately
+	// with a retry delay that grows with the backlog.
 	@Test
-	void whatWouldWaitTooLongIsAnsweredAtOnceWithAComputedTime() {
+	void requestWithTooLongWaitIsRefusedWithRetryDelay() {
 		endpoints(1);
 		offer("first-0", "a");
 		offer("first-1", "a");
@@ -92,16 +93,16 @@
 		assertThat(refused.kind()).isEqualTo(ErrorKind.OVERLOADED);
 		assertThat(refused.retryAfter()).isEqualTo(Duration.ofSeconds(1));
 		this.now = this.now.plusSeconds(3);
-		AdmissionDecision.Refused lasting = (AdmissionDecision.Refused) offer("lasting", "a");
-		assertThat(lasting.retryAfter()).isEqualTo(Duration.ofMillis(8500));
+		AdmissionDecision.Refused sustained = (AdmissionDecision.Refused) offer("lasting", "a");
+		assertThat(sustained.retryAfter()).isEqualTo(Duration.ofMillis(8500));
 	}
 
-	// Callers send in bursts of a few seconds. Once an answer was late, so that the
-	// limit is known, a burst is let wait only as long as the target leaves: a queue as
-	// long as the deadline would make every answer late, and as soon as it was empty the
-	// next burst would fill it again.
+	// Guards against a queue in which every answer is late: callers send bursts of a few
+	// seconds. Once the limit is known from a late answer, a burst may wait only as long
+	// as the target allows. A wait up to the deadline would make every answer late, and
+	// the next burst would refill the queue once it is empty.
 	@Test
-	void onceTheLimitIsKnownABurstWaitsNoLongerThanTheTargetLeaves() {
+	void burstWaitsWithinTheTargetOnceTheLimitIsKnown() {
 		endpoints(1);
 		offer("first-0", "a");
 		offer("first-1", "a");
@@ -109,7 +110,7 @@
 		release("first-0");
 		release("first-1");
 		assertThat(this.table.isCapacityKnown(SERVICE)).isFalse();
-		assertThat(waitingOfBurst("unknown")).isGreaterThan(10);
+		assertThat(waitingCountOfBurst("unknown")).isGreaterThan(10);
 		this.table.attemptStarted(new PlacementDecision.Placed(new EndpointId("e0"), Duration.ZERO, Duration.ZERO, 1),
 				new PlacementRequest(new RequestId("late"), new AccountName("a"), SERVICE, PROFILE, List.of(), 1, 1,
 						Set.of(), this.now, Optional.empty()),
@@ -118,11 +119,11 @@
 		this.table.firstTokenSeen(new EndpointId("e0"), new RequestId("late"), this.now);
 		this.table.attemptEnded(new EndpointId("e0"), new RequestId("late"), AttemptOutcome.COMPLETED, this.now);
 		assertThat(this.table.isCapacityKnown(SERVICE)).isTrue();
-		assertThat(waitingOfBurst("known")).isLessThan(3);
+		assertThat(waitingCountOfBurst("known")).isLessThan(3);
 	}
 
 	@Test
-	void aRequestThatWaitedUntilItsDeadlineIsRefused() {
+	void requestIsRefusedAtItsDeadline() {
 		endpoints(1);
 		for (int i = 0; i < 3; i++) {
 			offer("r-" + i, "a");
@@ -133,14 +134,14 @@
 	}
 
 	@Test
-	void withoutAnEndpointTheAnswerComesAtOnce() {
+	void requestWithoutEndpointIsRefusedImmediately() {
 		AdmissionDecision.Refused refused = (AdmissionDecision.Refused) offer("r", "a");
 		assertThat(refused.kind()).isEqualTo(ErrorKind.NO_ENDPOINT);
 		assertThat(refused.retryAfter()).isPositive();
 	}
 
-	// Offers thirty requests at once, and drops them again.
-	private int waitingOfBurst(String name) {
+	// Offers thirty concurrent requests, then cancels and releases them.
+	private int waitingCountOfBurst(String name) {
 		for (int i = 0; i < 30; i++) {
 			offer(name + i, "a");
 		}
--- a/banyancove-core/src/test/java/org/banyancove/core/retry/RetryBudgetTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/retry/RetryBudgetTests.java
@@ -11,9 +11,9 @@
 
 class RetryBudgetTests {
 
-	// All endpoints fail: every attempt asks for a retry at once, many times over. The
-	// callers' load must not grow beyond the ratio, else the retries keep the
-	// endpoints down.
+	// Guards against retries that keep endpoints overloaded: all endpoints fail, and
+	// every attempt immediately requests several retries. The load must not exceed the
+	// ratio.
 	@Property(tries = 100, seed = "2")
 	void retriesStayWithinTheRatioOfFirstAttempts(@ForAll @DoubleRange(min = 0, max = 1) double ratio,
 			@ForAll @Size(max = 300) List<Boolean> firstAttempts) {
--- a/banyancove-core/src/test/java/org/banyancove/core/retry/RetryRuleTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/retry/RetryRuleTests.java
@@ -30,7 +30,7 @@
 	private final RetryRule rule = new RetryRule((InstantSource) () -> this.now);
 
 	@Test
-	void aCallThatMayNotBeRepeatedIsRetriedOnlyIfItProvablyDidNotRun() {
+	void nonRepeatableCallIsRetriedOnlyIfKnownNotRun() {
 		RetryDecision.GiveUp givenUp = (RetryDecision.GiveUp) this.rule.decide(failed(false, false, 1));
 		assertThat(givenUp.kind()).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
 		assertThat(this.rule.decide(failed(false, true, 1))).isEqualTo(new RetryDecision.Retry(FAILED));
@@ -44,10 +44,11 @@
 		assertThat(this.rule.decide(request)).isInstanceOf(RetryDecision.GiveUp.class);
 	}
 
-	// All endpoints fail. The reserve is spent, then each caller is told at once to come
-	// back when the first attempts of others, 20 ms apart, will have earned a retry.
+	// All endpoints fail and the budget is exhausted. Each caller then immediately
+	// receives a retry delay after which the first attempts of others, 20 ms apart, have
+	// earned a retry.
 	@Test
-	void whenTheBudgetIsSpentTheTimeToComeBackFollowsFromHowFastItFills() {
+	void retryDelayOfExhaustedBudgetFollowsItsReplenishmentRate() {
 		for (int i = 0; i < 200; i++) {
 			this.rule.firstAttempt(SERVICE, PROFILE);
 			this.now = this.now.plusMillis(20);
@@ -61,10 +62,11 @@
 				Duration.ofMillis(210));
 	}
 
-	// A VM with fifty requests vanishes before its notice came, with three retries in
-	// the budget. All fifty were accepted and are sent again, but none more than twice.
+	// Guards against losing accepted work with an exhausted budget: a VM with fifty
+	// requests is lost without a reclaim notice, with three retries in the budget. All
+	// fifty are retried, each at most twice.
 	@Test
-	void whatALostEndpointRanIsSentAgainBeyondTheBudget() {
+	void requestsOfLostEndpointAreRetriedBeyondTheBudget() {
 		RetryRequest lost = new RetryRequest(SERVICE, PROFILE, true, false, true, FAILED, 1, this.now);
 		for (int i = 0; i < 50; i++) {
 			assertThat(this.rule.decide(lost)).isInstanceOf(RetryDecision.Retry.class);
@@ -74,8 +76,8 @@
 		assertThat(this.rule.decide(third)).isInstanceOf(RetryDecision.GiveUp.class);
 	}
 
-	private RetryRequest failed(boolean mayRepeat, boolean provedNotRun, int attempts) {
-		return new RetryRequest(SERVICE, PROFILE, mayRepeat, provedNotRun, FAILED, attempts, this.now);
+	private RetryRequest failed(boolean repeatable, boolean knownNotRun, int attempts) {
+		return new RetryRequest(SERVICE, PROFILE, repeatable, knownNotRun, FAILED, attempts, this.now);
 	}
 
 }
--- a/banyancove-core/src/test/java/org/banyancove/core/routing/EndpointRegionTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/routing/EndpointRegionTests.java
@@ -19,54 +19,56 @@
 
 class EndpointRegionTests {
 
-	private static final DataCenterName OWN = new DataCenterName("mahebourg");
+	private static final DataCenterName OWN_DATA_CENTER = new DataCenterName("mahebourg");
 
 	private Instant now = RoutingFixtures.START;
 
 	private final EndpointTable table = new EndpointTable(
-			EndpointRegion.of(OWN, Set.of(new DataCenterName("trou-deau"))), 5);
+			EndpointRegion.of(OWN_DATA_CENTER, Set.of(new DataCenterName("trou-deau"))), 5);
 
-	// The region's last endpoint of the service gets its notice. With the next list the
-	// entry meets some of the other region's, so its callers are served there; once the
-	// region has an endpoint again, what runs elsewhere may end, and the rest is dropped.
+	// When the region's last endpoint of a service is reclaimed, the next list adds some
+	// remote endpoints, so that callers are still served. Once the region has an endpoint
+	// again, remote endpoints with running attempts are kept until the attempts end and
+	// the others are removed.
 	@Test
-	void endpointsElsewhereAreMetOnlyWhileTheRegionHasNone() {
-		List<EndpointDefinition> list = new ArrayList<>(elsewhere(200));
+	void remoteEndpointsAreUsedOnlyWhileTheRegionHasNone() {
+		List<EndpointDefinition> list = new ArrayList<>(remoteEndpoints(200));
 		list.add(definition("near", "trou-deau"));
 		this.table.listed(list, this.now);
 		assertThat(this.table.all()).extracting((endpoint) -> endpoint.id().value()).containsExactly("near");
 		this.table.markLeaving(new VmId("vm-near"), this.now.plusSeconds(30), this.now);
 		this.table.listed(list, this.now);
-		assertThat(this.table.liveCount(RoutingFixtures.SERVICE)).isEqualTo(EndpointTable.MOST_ELSEWHERE);
+		assertThat(this.table.liveCount(RoutingFixtures.SERVICE)).isEqualTo(EndpointTable.MAXIMUM_REMOTE_ENDPOINTS);
 		EndpointId used = place("1");
-		List<EndpointDefinition> renewed = new ArrayList<>(list);
-		renewed.add(definition("new", "mahebourg"));
-		this.table.listed(renewed, this.now);
+		List<EndpointDefinition> updatedList = new ArrayList<>(list);
+		updatedList.add(definition("new", "mahebourg"));
+		this.table.listed(updatedList, this.now);
 		assertThat(this.table.byService(RoutingFixtures.SERVICE)).extracting((endpoint) -> endpoint.id().value())
 			.containsExactlyInAnyOrder("new", used.value());
 		this.table.attemptEnded(used,
 				RoutingFixtures.request("1", PlacementPolicyName.COST_AT_TARGET, List.of(), Set.of(), this.now)
 					.request(),
 				AttemptOutcome.COMPLETED, this.now);
-		this.table.listed(renewed, this.now);
+		this.table.listed(updatedList, this.now);
 		assertThat(this.table.liveCount(RoutingFixtures.SERVICE)).isEqualTo(1);
 	}
 
 	@Test
-	void twoEntriesThatNeedTheOtherRegionMeetDifferentEndpoints() {
-		EndpointTable other = new EndpointTable(EndpointRegion.of(OWN, Set.of(new DataCenterName("trou-deau"))), 6);
-		this.table.listed(elsewhere(2000), this.now);
-		other.listed(elsewhere(2000), this.now);
-		Set<EndpointId> both = new HashSet<>(this.table.all().stream().map(Endpoint::id).toList());
-		both.retainAll(other.all().stream().map(Endpoint::id).toList());
-		assertThat(both).hasSizeLessThan(EndpointTable.MOST_ELSEWHERE / 2);
+	void entriesSelectDifferentRemoteEndpoints() {
+		EndpointTable other = new EndpointTable(
+				EndpointRegion.of(OWN_DATA_CENTER, Set.of(new DataCenterName("trou-deau"))), 6);
+		this.table.listed(remoteEndpoints(2000), this.now);
+		other.listed(remoteEndpoints(2000), this.now);
+		Set<EndpointId> common = new HashSet<>(this.table.all().stream().map(Endpoint::id).toList());
+		common.retainAll(other.all().stream().map(Endpoint::id).toList());
+		assertThat(common).hasSizeLessThan(EndpointTable.MAXIMUM_REMOTE_ENDPOINTS / 2);
 	}
 
-	// An engine's load reports stop, while peers go on telling what they send there. Of
-	// those requests nobody hears the end; counted for good they would make the engine
-	// look full, so that no caller is let in.
+	// Guards against an engine that appears full forever: its load reports stop while
+	// peers still report the requests that they send to it. The end of those requests is
+	// never reported, so counting them permanently would block all admission.
 	@Test
-	void whatPeersSentIsNotCountedForGoodWhenReportsStop() {
+	void requestsSentByPeersExpireWithoutLoadReports() {
 		this.table.listed(List.of(definition("near", "mahebourg")), this.now);
 		this.table.loadReported(new EndpointId("near"), new LoadReport(this.now, 0, 0, 0, 0, 0));
 		for (int second = 0; second < 300; second++) {
@@ -77,7 +79,7 @@
 		this.now = this.now.plusSeconds(20);
 		this.table.listed(List.of(definition("near", "mahebourg")), this.now);
 		assertThat(this.table.find(new EndpointId("near")).orElseThrow().inFlight()).isZero();
-		assertThat(this.table.freeCapacity(RoutingFixtures.SERVICE)).isEqualTo(ConcurrencyLimit.FIRST);
+		assertThat(this.table.freeCapacity(RoutingFixtures.SERVICE)).isEqualTo(ConcurrencyLimit.INITIAL_LIMIT);
 	}
 
 	private EndpointId place(String name) {
@@ -89,7 +91,7 @@
 		return placed.endpoint();
 	}
 
-	private static List<EndpointDefinition> elsewhere(int count) {
+	private static List<EndpointDefinition> remoteEndpoints(int count) {
 		List<EndpointDefinition> definitions = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			definitions.add(definition("far-" + i, "poste-lafayette"));
--- a/banyancove-core/src/test/java/org/banyancove/core/routing/PlacementSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/routing/PlacementSystemTests.java
@@ -26,13 +26,13 @@
 	private final PlacementSystem system = new PlacementSystem(this.table, (InstantSource) () -> this.now,
 			new Random(1));
 
-	// A caller's request must not be sent to an endpoint whose VM has its notice.
-	// The notice comes, then an older list that still calls the VM live: the notice
-	// stands, for the list only lags. With no endpoint left the caller is told so,
-	// and the time to come back grows with the time that there was none.
+	// Guards against placing a request on an endpoint whose VM has a reclaim notice:
+	// after the notice, an older list still contains the VM as live. The list lags, so
+	// the notice prevails. Without an endpoint, the request is refused with a retry delay
+	// that grows with the duration of the outage.
 	@ParameterizedTest
 	@EnumSource(PlacementPolicyName.class)
-	void aNoticeIsNotUndoneByAnOlderList(PlacementPolicyName policy) {
+	void noticePrevailsOverOlderList(PlacementPolicyName policy) {
 		this.table.put(RoutingFixtures.definition("a", 1), this.now);
 		this.table.put(RoutingFixtures.definition("b", 2), this.now);
 		this.table.markLeaving(new VmId("vm-a"), this.now.plusSeconds(30), this.now);
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void aLostEndpointComesBackByAListMadeAfterThePause() {
+	void lostEndpointIsLiveAgainWithListAfterBackoff() {
 		this.table.put(RoutingFixtures.definition("a", 1), this.now);
 		this.table.markGone(new EndpointId("a"), this.now);
 		this.table.put(RoutingFixtures.definition("a", 1), this.now.plusMillis(900));
@@ -69,11 +69,11 @@
 		assertThat(this.table.find(new EndpointId("a")).orElseThrow().concurrencyLimit()).isEqualTo(1);
 	}
 
-	// The VM has its notice, then its process vanishes, and a list made later still
-	// names it as live. Work placed there would be cut off again. Found by DecisionRun
-	// with seed 323.
+	// Guards against reviving a lost endpoint of a VM with a reclaim notice: the process
+	// is lost after the notice, and a later list still contains the VM as live. Work
+	// placed there would be interrupted again. Reproduced by DecisionRun with seed 323.
 	@Test
-	void anEndpointThatVanishedAfterItsNoticeDoesNotComeBack() {
+	void endpointLostAfterNoticeStaysGone() {
 		this.table.put(RoutingFixtures.definition("a", 1), this.now);
 		this.table.markLeaving(new VmId("vm-a"), this.now.plusSeconds(30), this.now);
 		this.table.markGone(new EndpointId("a"), this.now);
@@ -82,7 +82,7 @@
 	}
 
 	@Test
-	void theCheapestThatMeetsTheTargetWinsUntilItsLoadWouldMissIt() {
+	void cheapestEndpointIsChosenWhileItMeetsTheTarget() {
 		this.table.put(RoutingFixtures.definition("cheap", 1), this.now);
 		this.table.put(RoutingFixtures.definition("dear", 8), this.now);
 		for (int i = 0; i < 20; i++) {
@@ -96,7 +96,7 @@
 	}
 
 	@Test
-	void aPrefixHolderWinsAmongEqualsUntilItsProcessStartsAnew() {
+	void prefixHolderIsPreferredUntilItsProcessRestarts() {
 		PromptPrefix prefix = new PromptPrefix(7, 192);
 		this.table.put(RoutingFixtures.definition("a", 1), this.now);
 		this.table.put(RoutingFixtures.definition("b", 1), this.now);
@@ -105,20 +105,21 @@
 			serve("b", "b" + i, 100);
 		}
 		this.table.cacheChanged(new EndpointId("b"), new CacheChange(1, CacheChange.Kind.STORED, prefix));
-		PlacementDecision.Placed known = place("1", PlacementPolicyName.COST_AT_TARGET, List.of(prefix), Set.of());
-		assertThat(known.endpoint().value()).isEqualTo("b");
-		assertThat(known.uncachedTokens()).isEqualTo(8);
+		PlacementDecision.Placed cached = place("1", PlacementPolicyName.COST_AT_TARGET, List.of(prefix), Set.of());
+		assertThat(cached.endpoint().value()).isEqualTo("b");
+		assertThat(cached.uncachedTokens()).isEqualTo(8);
 		CacheChange afterGap = new CacheChange(5, CacheChange.Kind.STORED, new PromptPrefix(8, 64));
 		this.table.cacheChanged(new EndpointId("b"), afterGap);
 		CacheChange late = new CacheChange(3, CacheChange.Kind.EVICTED, prefix);
 		this.table.cacheChanged(new EndpointId("b"), late);
-		assertThat(this.table.find(new EndpointId("b")).orElseThrow().cacheGaps()).isEqualTo(1);
-		PlacementDecision.Placed still = place("2", PlacementPolicyName.COST_AT_TARGET, List.of(prefix), Set.of());
-		assertThat(still).isEqualTo(known);
+		assertThat(this.table.find(new EndpointId("b")).orElseThrow().cacheEventGaps()).isEqualTo(1);
+		PlacementDecision.Placed unchanged = place("2", PlacementPolicyName.COST_AT_TARGET, List.of(prefix), Set.of());
+		assertThat(unchanged).isEqualTo(cached);
 		this.table.markGone(new EndpointId("b"), this.now);
 		this.table.put(RoutingFixtures.definition("b", 1), this.now.plusSeconds(1));
-		PlacementDecision.Placed anew = place("3", PlacementPolicyName.COST_AT_TARGET, List.of(prefix), Set.of());
-		assertThat(anew.uncachedTokens()).isEqualTo(200);
+		PlacementDecision.Placed afterRestart = place("3", PlacementPolicyName.COST_AT_TARGET, List.of(prefix),
+				Set.of());
+		assertThat(afterRestart.uncachedTokens()).isEqualTo(200);
 	}
 
 	private String placed(String name, PlacementPolicyName policy, Set<EndpointId> excluded) {
