--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/AppendId.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/AppendId.java
@@ -1,9 +1,9 @@
 package org.banyancove.core.ledger;
 
 /**
- * The identifier of one append within one process.
+ * The identifier of an append within a process.
  *
- * @param value a number that the process uses once
+ * @param value a number that is unique within the process
  */
 public record AppendId(long value) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/AppendQueue.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/AppendQueue.java
@@ -16,10 +16,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The records that wait for the log, batched by slot and paced over all slots.
+ * The queue of records to append to the log, batched by slot and rate-limited across all
+ * slots.
  * <p>
- * An intent is sent once: what became of it is decided by reading. All other records are
- * sent until they are known to be on the log; a second copy of them changes nothing.
+ * An intent is sent once, since its outcome is determined by reading the log. All other
+ * records are sent until they are confirmed to be on the log; duplicates have no effect.
  */
 final class AppendQueue {
 
@@ -33,31 +34,31 @@
 
 	private final List<SlotQueue> slots = new ArrayList<>();
 
-	private final LinkedHashMap<AppendId, Sent> inFlight = new LinkedHashMap<>();
+	private final LinkedHashMap<AppendId, InFlightAppend> inFlight = new LinkedHashMap<>();
 
 	private final Map<RecordId, LedgerRecord.ClaimantRecord> unconfirmed = new LinkedHashMap<>();
 
-	private final Set<RecordId> liveIntents = new HashSet<>();
+	private final Set<RecordId> pendingIntents = new HashSet<>();
 
 	private long nextAppend;
 
-	private double allowance;
+	private double availableAppends;
 
-	private Instant allowanceAt;
+	private Instant refilledAt;
 
 	AppendQueue(ClaimSettings settings, InstantSource clock, ClaimPort port) {
 		this.settings = settings;
 		this.clock = clock;
 		this.port = port;
-		this.allowance = settings.slots();
-		this.allowanceAt = clock.instant();
+		this.availableAppends = settings.slots();
+		this.refilledAt = clock.instant();
 		for (int index = 0; index < settings.slots(); index++) {
 			this.slots.add(new SlotQueue(new KeySlot(index)));
 		}
 	}
 
 	void addIntent(KeySlot slot, LedgerRecord.Intent intent) {
-		this.liveIntents.add(intent.id());
+		this.pendingIntents.add(intent.id());
 		slotQueue(slot).add(intent, this.clock.instant());
 	}
 
@@ -67,15 +68,15 @@
 		}
 	}
 
-	// Takes back an intent: it is not sent from now on. One that was sent may still reach
-	// the log.
-	void withdraw(KeySlot slot, RecordId intent) {
-		this.liveIntents.remove(intent);
+	// Cancels an intent that has not been sent yet. An intent that was already sent may
+	// still reach the log.
+	void cancel(KeySlot slot, RecordId intent) {
+		this.pendingIntents.remove(intent);
 		slotQueue(slot).waiting.remove(intent);
 	}
 
-	// Returns whether an intent waits to be sent.
-	boolean holds(KeySlot slot, RecordId intent) {
+	// Returns whether an intent is queued and has not been sent yet.
+	boolean isQueued(KeySlot slot, RecordId intent) {
 		return slotQueue(slot).waiting.containsKey(intent);
 	}
 
@@ -85,24 +86,24 @@
 		}
 	}
 
-	// Sends a checkpoint's parts, which must share one append.
+	// Sends the parts of a checkpoint, which must be in a single append.
 	void sendCheckpoint(KeySlot slot, List<LedgerRecord> parts) {
 		send(slotQueue(slot), parts);
 	}
 
-	// Takes the answer to an append.
+	// Handles the result of an append and returns its records.
 	List<LedgerRecord> answered(AppendId append, AppendResult result) {
-		Sent sent = this.inFlight.remove(append);
+		InFlightAppend sent = this.inFlight.remove(append);
 		if (sent == null) {
 			return List.of();
 		}
 		SlotQueue queue = slotQueue(sent.slot());
 		queue.inFlight--;
 		switch (result) {
-			case AppendResult.Appended _ -> sent.records().forEach((record) -> settle(record.id()));
+			case AppendResult.Appended _ -> sent.records().forEach((record) -> markAppended(record.id()));
 			case AppendResult.Refused refused -> {
 				queue.pauseUntil(this.clock.instant().plus(refused.retryAfter()));
-				putBack(queue, sent);
+				requeue(queue, sent);
 			}
 			case AppendResult.Unanswered _ -> {
 				queue.pauseUntil(this.clock.instant().plus(this.settings.retryAfter()));
@@ -116,102 +117,104 @@
 		return this.unconfirmed.values();
 	}
 
-	// A checkpoint on its way does not count: if it is lost, another reader writes one.
+	// Checkpoints in flight are not considered: if one is lost, another reader writes a
+	// checkpoint.
 	boolean idle() {
-		return this.unconfirmed.isEmpty() && this.inFlight.values().stream().noneMatch(Sent::holdsIntent);
+		return this.unconfirmed.isEmpty() && this.inFlight.values().stream().noneMatch(InFlightAppend::containsIntent);
 	}
 
 	void tick() {
 		Instant now = this.clock.instant();
-		forgetUnanswered(now);
+		expireUnanswered(now);
 		refill(now);
-		while (this.allowance >= 1) {
-			SlotQueue next = nextDue(now);
-			if (next == null) {
+		while (this.availableAppends >= 1) {
+			SlotQueue queue = nextDue(now);
+			if (queue == null) {
 				return;
 			}
-			this.allowance--;
-			send(next, next.take(this.settings.recordsPerAppend()));
+			this.availableAppends--;
+			send(queue, queue.poll(this.settings.recordsPerAppend()));
 		}
 	}
 
-	// An adapter that never answers would otherwise hold its slot's place for good.
-	private void forgetUnanswered(Instant now) {
-		List<AppendId> late = new ArrayList<>();
-		for (Map.Entry<AppendId, Sent> entry : this.inFlight.entrySet()) {
+	// Without this timeout, an adapter that never answers would block its slot
+	// permanently.
+	private void expireUnanswered(Instant now) {
+		List<AppendId> timedOut = new ArrayList<>();
+		for (Map.Entry<AppendId, InFlightAppend> entry : this.inFlight.entrySet()) {
 			if (now.isBefore(entry.getValue().sentAt().plus(this.settings.appendTimeout()))) {
 				break;
 			}
-			late.add(entry.getKey());
+			timedOut.add(entry.getKey());
 		}
-		late.forEach((append) -> answered(append, new AppendResult.Unanswered()));
+		timedOut.forEach((append) -> answered(append, new AppendResult.Unanswered()));
 	}
 
 	private void refill(Instant now) {
-		double seconds = Duration.between(this.allowanceAt, now).toNanos() / NANOS_PER_SECOND;
-		double refilled = this.allowance + seconds * this.settings.appendsPerSecond();
-		this.allowance = Math.min(this.settings.slots(), refilled);
-		this.allowanceAt = now;
+		double seconds = Duration.between(this.refilledAt, now).toNanos() / NANOS_PER_SECOND;
+		double refilled = this.availableAppends + seconds * this.settings.appendsPerSecond();
+		this.availableAppends = Math.min(this.settings.slots(), refilled);
+		this.refilledAt = now;
 	}
 
 	private @Nullable SlotQueue nextDue(Instant now) {
 		return this.slots.stream()
 			.filter((queue) -> queue.due(now, this.settings))
-			.min(Comparator.comparing(SlotQueue::oldest))
+			.min(Comparator.comparing(SlotQueue::oldestQueuedAt))
 			.orElse(null);
 	}
 
 	private void send(SlotQueue queue, List<LedgerRecord> records) {
 		AppendId append = new AppendId(this.nextAppend++);
 		queue.inFlight++;
-		this.inFlight.put(append, new Sent(queue.slot, records, this.clock.instant()));
+		this.inFlight.put(append, new InFlightAppend(queue.slot, records, this.clock.instant()));
 		this.port.append(queue.slot, append, records);
 	}
 
-	private void settle(RecordId record) {
+	private void markAppended(RecordId record) {
 		this.unconfirmed.remove(record);
-		this.liveIntents.remove(record);
+		this.pendingIntents.remove(record);
 	}
 
-	private void putBack(SlotQueue queue, Sent sent) {
+	private void requeue(SlotQueue queue, InFlightAppend sent) {
 		for (LedgerRecord record : sent.records().reversed()) {
-			if (this.unconfirmed.containsKey(record.id()) || this.liveIntents.contains(record.id())) {
-				queue.putBack(record, sent.sentAt());
+			if (this.unconfirmed.containsKey(record.id()) || this.pendingIntents.contains(record.id())) {
+				queue.requeue(record, sent.sentAt());
 			}
 		}
 	}
 
-	// An intent may have been taken although the answer was lost. Reading tells; a second
-	// copy could only lose to the first.
-	private void resendUnconfirmed(SlotQueue queue, Sent sent) {
-		sent.records().forEach((record) -> this.liveIntents.remove(record.id()));
-		putBack(queue, sent);
+	// An intent may have been appended although the answer was lost. Reading the log
+	// resolves this; a second copy could only lose against the first.
+	private void resendUnconfirmed(SlotQueue queue, InFlightAppend sent) {
+		sent.records().forEach((record) -> this.pendingIntents.remove(record.id()));
+		requeue(queue, sent);
 	}
 
 	private SlotQueue slotQueue(KeySlot slot) {
 		return this.slots.get(slot.index());
 	}
 
-	/** An append without an answer yet. */
-	private record Sent(KeySlot slot, List<LedgerRecord> records, Instant sentAt) {
+	/** An append without a result. */
+	private record InFlightAppend(KeySlot slot, List<LedgerRecord> records, Instant sentAt) {
 
-		boolean holdsIntent() {
+		boolean containsIntent() {
 			return this.records.stream().anyMatch(LedgerRecord.Intent.class::isInstance);
 		}
 
 	}
 
-	/** A record that waits to be sent. */
-	private record Waiting(LedgerRecord record, Instant since) {
+	/** A record waiting to be sent. */
+	private record QueuedRecord(LedgerRecord record, Instant queuedAt) {
 
 	}
 
-	/** The records of one slot that wait to be sent. */
+	/** The records of a slot waiting to be sent. */
 	private static final class SlotQueue {
 
 		private final KeySlot slot;
 
-		private final LinkedHashMap<RecordId, Waiting> waiting = new LinkedHashMap<>();
+		private final LinkedHashMap<RecordId, QueuedRecord> waiting = new LinkedHashMap<>();
 
 		private int inFlight;
 
@@ -221,20 +224,20 @@
 			this.slot = slot;
 		}
 
-		void add(LedgerRecord record, Instant since) {
-			this.waiting.put(record.id(), new Waiting(record, since));
+		void add(LedgerRecord record, Instant queuedAt) {
+			this.waiting.put(record.id(), new QueuedRecord(record, queuedAt));
 		}
 
-		void putBack(LedgerRecord record, Instant since) {
-			this.waiting.putFirst(record.id(), new Waiting(record, since));
+		void requeue(LedgerRecord record, Instant queuedAt) {
+			this.waiting.putFirst(record.id(), new QueuedRecord(record, queuedAt));
 		}
 
 		void pauseUntil(Instant time) {
 			this.pausedUntil = time;
 		}
 
-		Instant oldest() {
-			return this.waiting.firstEntry().getValue().since();
+		Instant oldestQueuedAt() {
+			return this.waiting.firstEntry().getValue().queuedAt();
 		}
 
 		boolean due(Instant now, ClaimSettings settings) {
@@ -243,12 +246,12 @@
 				return false;
 			}
 			return this.waiting.size() >= settings.recordsPerAppend()
-					|| !now.isBefore(oldest().plus(settings.batchWindow()));
+					|| !now.isBefore(oldestQueuedAt().plus(settings.batchWindow()));
 		}
 
-		List<LedgerRecord> take(int limit) {
+		List<LedgerRecord> poll(int limit) {
 			List<LedgerRecord> records = new ArrayList<>();
-			Iterator<Waiting> iterator = this.waiting.values().iterator();
+			Iterator<QueuedRecord> iterator = this.waiting.values().iterator();
 			while (iterator.hasNext() && records.size() < limit) {
 				records.add(iterator.next().record());
 				iterator.remove();
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/AppendResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/AppendResult.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What became of an append, as far as its author can tell.
+ * The result of an append, as known to its author.
  */
 public sealed interface AppendResult {
 
 	/**
-	 * The log took the records.
+	 * The log has appended the records.
 	 *
 	 * @param first the offset of the first record
 	 * @param last the offset of the last record
@@ -18,17 +18,17 @@
 	}
 
 	/**
-	 * The log said that it did not take the records. Only for answers that make this
-	 * sure; any doubt is {@link Unanswered}.
+	 * The log has certainly not appended the records. If this is uncertain, the result is
+	 * {@link Unanswered}.
 	 *
-	 * @param retryAfter when the log may take them
+	 * @param retryAfter the retry delay
 	 */
 	record Refused(Duration retryAfter) implements AppendResult {
 
 	}
 
 	/**
-	 * The log may have taken the records, or may take them later.
+	 * The log may have appended the records, or may still append them later.
 	 */
 	record Unanswered() implements AppendResult {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/BodyDigest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/BodyDigest.java
@@ -1,9 +1,9 @@
 package org.banyancove.core.ledger;
 
 /**
- * The digest of all that makes two calls the same: method, path and body.
+ * The digest that identifies the content of a call: method, path and body.
  *
- * @param value the digest's text, never blank; compared, never interpreted
+ * @param value the digest as opaque text, never blank
  */
 public record BodyDigest(String value) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/CheckpointSchedule.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/CheckpointSchedule.java
@@ -5,14 +5,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a reader of a slot writes a checkpoint.
+ * Determines when a reader of a slot writes a checkpoint.
  * <p>
- * All readers see at the same time that one is due. Each waits for a random while first,
- * after which most find that another one has written it. Two checkpoints do no harm.
+ * A checkpoint becomes due for all readers at the same time. Each reader first waits for
+ * a random delay, after which most readers find that another one has written the
+ * checkpoint. Duplicate checkpoints are harmless.
  */
 final class CheckpointSchedule {
 
-	private static final int SHORTEST_WAIT_PER_INTERVAL = 8;
+	private static final int MINIMUM_DELAYS_PER_INTERVAL = 8;
 
 	private final Duration interval;
 
@@ -26,10 +27,11 @@
 	}
 
 	/**
-	 * Returns whether to write a checkpoint now, and supposes that it is written.
+	 * Returns whether to write a checkpoint now. If so, assumes that the caller writes
+	 * it.
 	 * @param table the slot's table
-	 * @param now this process's time, which decides nothing but when to write
-	 * @return whether to write a checkpoint
+	 * @param now the local time, which only affects when a checkpoint is written
+	 * @return {@code true} if a checkpoint must be written
 	 */
 	boolean due(KeyTable table, Instant now) {
 		if (!table.complete() || table.nextOffset() == 0 || now.isBefore(this.notBefore)) {
@@ -39,14 +41,14 @@
 		if (now.isBefore(due)) {
 			return false;
 		}
-		boolean waited = !this.notBefore.isBefore(due);
-		this.notBefore = now.plus(randomWait());
-		return waited;
+		boolean delayElapsed = !this.notBefore.isBefore(due);
+		this.notBefore = now.plus(randomDelay());
+		return delayElapsed;
 	}
 
-	private Duration randomWait() {
-		Duration shortest = this.interval.dividedBy(SHORTEST_WAIT_PER_INTERVAL);
-		return shortest.plusNanos((long) (shortest.toNanos() * this.random.nextDouble()));
+	private Duration randomDelay() {
+		Duration minimumDelay = this.interval.dividedBy(MINIMUM_DELAYS_PER_INTERVAL);
+		return minimumDelay.plusNanos((long) (minimumDelay.toNanos() * this.random.nextDouble()));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimAnswer.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimAnswer.java
@@ -5,33 +5,33 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * The final answer to one {@link ClaimRequest}.
+ * The final answer to a {@link ClaimRequest}.
  */
 public sealed interface ClaimAnswer {
 
 	/**
 	 * This request ran the call.
 	 *
-	 * @param answer the endpoint's answer, whole
+	 * @param answer the endpoint's complete answer
 	 */
 	record FirstRun(StoredAnswer answer) implements ClaimAnswer {
 
 	}
 
 	/**
-	 * The call ran before, for another request with the same key and body.
+	 * The call already ran for another request with the same key and body.
 	 *
-	 * @param answer the first run's answer as the ledger keeps it
+	 * @param answer the answer of the first run, as stored in the ledger
 	 */
 	record Repeated(StoredAnswer answer) implements ClaimAnswer {
 
 	}
 
 	/**
-	 * The request is given up on.
+	 * The request is refused.
 	 *
-	 * @param kind the kind of error, which says whether the call ran
-	 * @param retryAfter when to come back
+	 * @param kind the kind of error, which indicates whether the call ran
+	 * @param retryAfter the retry delay
 	 */
 	record Refused(ErrorKind kind, Duration retryAfter) implements ClaimAnswer {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimAnswerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimAnswerSystem.java
@@ -11,12 +11,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Gives waiting requests their final answers, and sees that "not run" is only said where
- * nothing that this process knows of the key may run or have run.
+ * Answers waiting requests, and verifies that "not run" is only reported if this process
+ * knows of no call under the key that may be running or may have run.
  */
 final class ClaimAnswerSystem {
 
-	private final KeyWorkTable works;
+	private final PendingKeyTable pendingKeys;
 
 	private final DispatchTable dispatches;
 
@@ -26,9 +26,9 @@
 
 	private final ClaimPort port;
 
-	ClaimAnswerSystem(KeyWorkTable works, DispatchTable dispatches, ClaimSettings settings, RandomGenerator random,
-			ClaimPort port) {
-		this.works = works;
+	ClaimAnswerSystem(PendingKeyTable pendingKeys, DispatchTable dispatches, ClaimSettings settings,
+			RandomGenerator random, ClaimPort port) {
+		this.pendingKeys = pendingKeys;
 		this.dispatches = dispatches;
 		this.settings = settings;
 		this.random = random;
@@ -36,12 +36,12 @@
 	}
 
 	void answer(RequestId request, ClaimAnswer answer) {
-		this.works.forget(request);
+		this.pendingKeys.removeRequest(request);
 		this.port.answer(request, answer);
 	}
 
-	void answerWaiting(KeyWork work, @Nullable StoredAnswer answer) {
-		for (ClaimRequest request : work.waitingNow()) {
+	void answerWaiting(KeyWork pendingKey, @Nullable StoredAnswer answer) {
+		for (ClaimRequest request : pendingKey.waitingSnapshot()) {
 			if (answer != null) {
 				answer(request.request(), new ClaimAnswer.Repeated(answer));
 			}
@@ -51,28 +51,28 @@
 		}
 	}
 
-	void refuseOtherBodies(KeyWork work, Predicate<BodyDigest> same) {
-		for (ClaimRequest request : work.waitingNow()) {
+	void refuseMismatchedBodies(KeyWork pendingKey, Predicate<BodyDigest> same) {
+		for (ClaimRequest request : pendingKey.waitingSnapshot()) {
 			if (!same.test(request.digest())) {
 				refuse(request.request(), ErrorKind.KEY_BODY_MISMATCH);
 			}
 		}
 	}
 
-	void refuseWaiting(KeyWork work, ErrorKind kind) {
-		work.waitingNow().forEach((request) -> refuse(request.request(), kind));
+	void refuseWaiting(KeyWork pendingKey, ErrorKind kind) {
+		pendingKey.waitingSnapshot().forEach((request) -> refuse(request.request(), kind));
 	}
 
 	void refuse(RequestId request, ErrorKind kind) {
-		KeyWork work = this.works.find(request);
-		if (work != null && kind.execution() == CallExecution.NOT_RUN && kind != ErrorKind.KEY_BODY_MISMATCH) {
-			Invariant.check(!work.mayHaveRun() && !this.dispatches.contains(request),
-					"%s must not be called not run: %s", request, kind);
+		KeyWork pendingKey = this.pendingKeys.find(request);
+		if (pendingKey != null && kind.execution() == CallExecution.NOT_RUN && kind != ErrorKind.KEY_BODY_MISMATCH) {
+			Invariant.check(!pendingKey.mayHaveRun() && !this.dispatches.contains(request),
+					"%s must not be reported as not run: %s", request, kind);
 		}
-		answer(request, new ClaimAnswer.Refused(kind, jittered()));
+		answer(request, new ClaimAnswer.Refused(kind, jitteredRetryAfter()));
 	}
 
-	Duration jittered() {
+	Duration jitteredRetryAfter() {
 		return Duration.ofNanos((long) (this.settings.retryAfter().toNanos() * (0.5 + this.random.nextDouble())));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimPort.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimPort.java
@@ -5,31 +5,31 @@
 import org.banyancove.core.RequestId;
 
 /**
- * The commands of a {@link ClaimSystem}. Each returns at once; what comes of it is told
- * to the system later, on its own thread.
+ * The commands of a {@link ClaimSystem}. Each command returns immediately; its result is
+ * reported to the system later, on the thread of the system.
  */
 public interface ClaimPort {
 
 	/**
-	 * Appends records to a slot's stream, in one append, without ever repeating it.
+	 * Appends records to a slot's stream in a single append, without retries.
 	 * @param slot the slot
-	 * @param append the identifier to answer under, by {@link ClaimSystem#appendAnswered}
+	 * @param append the identifier to pass to {@link ClaimSystem#appendAnswered}
 	 * @param records the records
 	 */
 	void append(KeySlot slot, AppendId append, List<LedgerRecord> records);
 
 	/**
-	 * Sends a claimed call to an endpoint, once. Must answer by
-	 * {@link ClaimSystem#dispatchEnded}, even after the caller has its answer.
+	 * Sends a claimed call to an endpoint once. The result must be reported to
+	 * {@link ClaimSystem#dispatchEnded}, even after the caller has been answered.
 	 * @param request the request whose body is sent
 	 * @param key the call's key
-	 * @param intentOffset the offset of the standing intent, which serves as fencing
-	 * number where an endpoint checks one
+	 * @param intentOffset the offset of the winning intent, which serves as the fencing
+	 * token if the endpoint checks one
 	 */
 	void dispatch(RequestId request, CallKey key, long intentOffset);
 
 	/**
-	 * Gives a request its final answer.
+	 * Sends the final answer to a request.
 	 * @param request the request
 	 * @param answer the answer
 	 */
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimSettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimSettings.java
@@ -5,35 +5,37 @@
 /**
  * Settings of a {@link ClaimSystem}.
  *
- * @param slots the number of slots, the same in every process of a log
- * @param batchWindow how long a record waits for others, so that one append holds many
- * @param appendTimeout how long an intent may take from its request until it is read back
- * @param keyWindow how long a key stays known, counted by the log's record times
- * @param answerWindow how long after its call ended an answer is kept for repeats,
- * counted by the log's record times; for the rest of the key window a repeat learns the
- * outcome and status only. Processes may differ in it: it has no part in who may run a
- * call
- * @param retention how long the log surely keeps a record
- * @param outcomeWait how long after its intent a call may still be running; later its
- * claimant is taken for dead and repeats are told so at once
- * @param retryAfter the mean time after which a caller should come back
- * @param appendsPerSecond the appends a second that this process may use over all slots;
- * under load, batches grow instead of the rate
- * @param appendsInFlight the appends of one slot that may be unanswered at once
- * @param recordsPerAppend the records that one append may hold
- * @param requests the requests that may wait at once
- * @param storedBodyBytes the largest answer body that goes to the log
+ * @param slots the number of slots, the same in every process that shares the log
+ * @param batchWindow how long a record is delayed for batching
+ * @param appendTimeout the timeout from the submission of a request until its intent is
+ * read back
+ * @param keyWindow how long a key is retained, measured by the log's record times
+ * @param answerWindow how long an answer is kept for repeats after the end of its call,
+ * measured by the log's record times; for the rest of the key window a repeat receives
+ * the outcome and status only. Processes may use different values, since the answer does
+ * not determine which process may run a call
+ * @param retention the guaranteed retention time of a record on the log
+ * @param outcomeWait how long after its intent a call may still be running; afterwards
+ * its claimant is considered failed and repeats are refused immediately with an unknown
+ * outcome
+ * @param retryAfter the mean retry delay of callers
+ * @param appendsPerSecond the maximum rate of appends of this process across all slots;
+ * under load, the batch size grows instead of the rate
+ * @param appendsInFlight the maximum number of concurrent appends per slot
+ * @param recordsPerAppend the maximum number of records per append
+ * @param requests the maximum number of waiting requests
+ * @param storedBodyBytes the maximum size of an answer body stored on the log, in bytes
  */
 public record ClaimSettings(int slots, Duration batchWindow, Duration appendTimeout, Duration keyWindow,
 		Duration answerWindow, Duration retention, Duration outcomeWait, Duration retryAfter, double appendsPerSecond,
 		int appendsInFlight, int recordsPerAppend, int requests, int storedBodyBytes) {
 
-	/** How long answers are kept where the settings say nothing. */
+	/** Default time for which answers are kept. */
 	public static final Duration DEFAULT_ANSWER_WINDOW = Duration.ofMinutes(10);
 
 	private static final int CHECKPOINTS_PER_RETENTION = 6;
 
-	private static final int LONGEST_WAIT_PER_WINDOW = 4;
+	private static final int MAXIMUM_WAITS_PER_KEY_WINDOW = 4;
 
 	/**
 	 * Creates the settings.
@@ -43,8 +45,8 @@
 		check(slots > 0, "slots must be positive", slots);
 		check(!batchWindow.isNegative(), "batchWindow must not be negative", batchWindow);
 		check(appendTimeout.compareTo(batchWindow) > 0, "appendTimeout must be above batchWindow", appendTimeout);
-		check(keyWindow.compareTo(appendTimeout.multipliedBy(LONGEST_WAIT_PER_WINDOW)) > 0,
-				"keyWindow must be above " + LONGEST_WAIT_PER_WINDOW + " times appendTimeout", keyWindow);
+		check(keyWindow.compareTo(appendTimeout.multipliedBy(MAXIMUM_WAITS_PER_KEY_WINDOW)) > 0,
+				"keyWindow must be above " + MAXIMUM_WAITS_PER_KEY_WINDOW + " times appendTimeout", keyWindow);
 		check(!answerWindow.isNegative(), "answerWindow must not be negative", answerWindow);
 		check(retention.isPositive(), "retention must be positive", retention);
 		check(outcomeWait.isPositive(), "outcomeWait must be positive", outcomeWait);
@@ -57,7 +59,7 @@
 	}
 
 	/**
-	 * Returns the settings where an operator gives none.
+	 * Returns the default settings.
 	 * @return the default settings
 	 */
 	public static ClaimSettings defaults() {
@@ -68,7 +70,7 @@
 
 	/**
 	 * Returns these settings with another answer window.
-	 * @param value how long after its call ended an answer is kept
+	 * @param value how long an answer is kept after the end of its call
 	 * @return the settings
 	 */
 	public ClaimSettings withAnswerWindow(Duration value) {
@@ -78,8 +80,8 @@
 	}
 
 	/**
-	 * Returns how often a checkpoint is due: often enough that several tries fit before
-	 * retention trims what the last one was folded from.
+	 * Returns the interval between checkpoints, which allows for several attempts before
+	 * retention trims the records that precede the last checkpoint.
 	 * @return the interval between checkpoints
 	 */
 	public Duration checkpointInterval() {
@@ -87,24 +89,24 @@
 	}
 
 	/**
-	 * Returns the longest that a request may wait. A request that waited beyond the key
-	 * window could take its own key for free after it ran.
-	 * @return the longest wait
+	 * Returns the maximum wait of a request. A request that waits beyond the key window
+	 * could find its own key unclaimed after the call has run.
+	 * @return the maximum wait
 	 */
-	public Duration longestWait() {
-		return this.keyWindow.dividedBy(LONGEST_WAIT_PER_WINDOW);
+	public Duration maximumWait() {
+		return this.keyWindow.dividedBy(MAXIMUM_WAITS_PER_KEY_WINDOW);
 	}
 
 	/**
-	 * Returns whether a record that retention has trimmed can no longer count.
-	 * @return whether records are kept for longer than keys
+	 * Returns whether a record trimmed by retention can no longer affect any key.
+	 * @return {@code true} if records are retained at least as long as keys
 	 */
 	public boolean retentionCoversKeys() {
 		return this.retention.compareTo(this.keyWindow) >= 0;
 	}
 
-	private static void check(boolean holds, String rule, Object value) {
-		if (!holds) {
+	private static void check(boolean valid, String rule, Object value) {
+		if (!valid) {
 			throw new IllegalArgumentException(rule + ": " + value);
 		}
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimSystem.java
@@ -14,15 +14,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs calls that may not be repeated at most once each.
+ * Runs non-repeatable calls at most once each.
  * <p>
- * The system appends an intent, reads the slot's stream through that intent's own offset,
- * and dispatches only if the intent stands first. Neither a clock nor a lease nor the
- * endpoint is needed for that: a paused claimant stays the only one that may run the
- * call, and a dead one leaves an intent that nobody else ever runs. Clocks decide only
- * when to give up.
+ * The system appends an intent, reads the slot's stream up to and including that intent,
+ * and dispatches the call only if the intent is the first one for the key. This requires
+ * neither a clock nor a lease nor the endpoint: a paused claimant remains the only
+ * process that may run the call, and the intent of a failed claimant is never run by
+ * another process. Clocks only determine timeouts.
  * <p>
- * Pure state, used by one thread: all methods and all commands of the {@link ClaimPort}
+ * Free of I/O and not thread-safe: all methods and all commands of the {@link ClaimPort}
  * run on the daemon's tick loop, and the port never calls back from within a command.
  */
 public final class ClaimSystem {
@@ -35,7 +35,7 @@
 
 	private final RecordSequence records;
 
-	private final Departure departure = new Departure();
+	private final ShutdownState shutdown = new ShutdownState();
 
 	private final ClaimTimers timers = new ClaimTimers();
 
@@ -43,7 +43,7 @@
 
 	private final SlotTable slots;
 
-	private final KeyWorkTable works;
+	private final PendingKeyTable pendingKeys;
 
 	private final AppendQueue appends;
 
@@ -53,7 +53,7 @@
 
 	private final OwnClaimSystem claims;
 
-	private final SettlementSystem settlement;
+	private final KeyResolutionSystem resolution;
 
 	private final SlotReadingSystem reading;
 
@@ -63,7 +63,7 @@
 	 * @param clock the clock for deadlines
 	 * @param random the source for jitter
 	 * @param settings the settings
-	 * @param port takes the commands
+	 * @param port executes the commands
 	 */
 	public ClaimSystem(Incarnation self, InstantSource clock, RandomGenerator random, ClaimSettings settings,
 			ClaimPort port) {
@@ -72,64 +72,65 @@
 		this.settings = settings;
 		this.records = new RecordSequence(self);
 		this.slots = new SlotTable(settings, random);
-		this.works = new KeyWorkTable(this.slots);
+		this.pendingKeys = new PendingKeyTable(this.slots);
 		this.appends = new AppendQueue(settings, clock, port);
-		this.answers = new ClaimAnswerSystem(this.works, this.dispatches, settings, random, port);
-		this.intents = new IntentSystem(this.records, clock, settings, this.slots, this.works, this.appends,
-				this.timers, this.answers, this.departure);
-		this.claims = new OwnClaimSystem(this.records, clock, settings, this.slots, this.works, this.dispatches,
-				this.appends, this.timers, this.answers, this.departure, port);
-		this.settlement = new SettlementSystem(self, clock, settings, this.slots, this.works, this.timers, this.answers,
-				this.intents, this.claims);
-		this.reading = new SlotReadingSystem(self, settings, this.slots, this.works, this.appends, this.answers,
-				this.intents, this.settlement);
+		this.answers = new ClaimAnswerSystem(this.pendingKeys, this.dispatches, settings, random, port);
+		this.intents = new IntentSystem(this.records, clock, settings, this.slots, this.pendingKeys, this.appends,
+				this.timers, this.answers, this.shutdown);
+		this.claims = new OwnClaimSystem(this.records, clock, settings, this.slots, this.pendingKeys, this.dispatches,
+				this.appends, this.timers, this.answers, this.shutdown, port);
+		this.resolution = new KeyResolutionSystem(self, clock, settings, this.slots, this.pendingKeys, this.timers,
+				this.answers, this.intents, this.claims);
+		this.reading = new SlotReadingSystem(self, settings, this.slots, this.pendingKeys, this.appends, this.answers,
+				this.intents, this.resolution);
 	}
 
 	/**
-	 * Takes a caller's request, which gets exactly one answer by the port, at its
-	 * deadline at the latest. A request that waits already is not taken twice.
+	 * Submits a caller's request, which receives exactly one answer through the port, no
+	 * later than its deadline. A request that is already waiting is ignored.
 	 * @param request the request
-	 * @throws IllegalArgumentException if the request's identifier is that of a running
-	 * dispatch for another key
+	 * @throws IllegalArgumentException if the request is already dispatched for another
+	 * key
 	 */
 	public void submit(ClaimRequest request) {
-		if (this.works.waits(request.request())) {
+		if (this.pendingKeys.isWaiting(request.request())) {
 			return;
 		}
 		DispatchTable.Dispatch running = this.dispatches.find(request.request());
-		if (running != null && !running.work().key().equals(request.key())) {
-			throw new IllegalArgumentException("request runs for another key: '" + request.request() + "'");
+		if (running != null && !running.pendingKey().key().equals(request.key())) {
+			throw new IllegalArgumentException(
+					"request is already dispatched for another key: '" + request.request() + "'");
 		}
-		ErrorKind refusal = refusalAtTheDoor();
-		if (refusal != null) {
-			turnAway(request, refusal);
+		ErrorKind error = admissionError();
+		if (error != null) {
+			refuseUnlessMayHaveRun(request, error);
 			return;
 		}
 		Instant now = this.clock.instant();
-		KeyWork work = this.works.work(request.key());
-		this.works.add(work, request);
-		this.timers.add(earlier(request.deadline(), now.plus(this.settings.longestWait())),
+		KeyWork pendingKey = this.pendingKeys.getOrCreate(request.key());
+		this.pendingKeys.add(pendingKey, request);
+		this.timers.add(earlier(request.deadline(), now.plus(this.settings.maximumWait())),
 				new ClaimTimers.Deadline(request.request()));
-		this.timers.add(now.plus(this.settings.appendTimeout()), new ClaimTimers.Patience(request.request()));
-		this.settlement.evaluate(work);
+		this.timers.add(now.plus(this.settings.appendTimeout()), new ClaimTimers.ViewTimeout(request.request()));
+		this.resolution.evaluate(pendingKey);
 	}
 
 	/**
-	 * Takes what was read from a slot's stream. Records must follow one another without a
-	 * gap; those read before are passed over.
+	 * Applies records read from a slot's stream. The records must be contiguous; records
+	 * that were already read are ignored.
 	 * @param slot the slot
-	 * @param firstRetained the offset of the first record that can still be read
-	 * @param endOffset the offset that the next record will get
-	 * @param records the records, in the order of their offsets
+	 * @param firstRetained the offset of the first retained record
+	 * @param endOffset the offset of the next record to be appended
+	 * @param records the records, in offset order
 	 */
 	public void recordsRead(KeySlot slot, long firstRetained, long endOffset, List<LoggedRecord> records) {
 		this.reading.recordsRead(slot, firstRetained, endOffset, records);
 	}
 
 	/**
-	 * Takes the answer to an append.
+	 * Handles the result of an append.
 	 * @param append the append
-	 * @param result what became of it
+	 * @param result the result
 	 */
 	public void appendAnswered(AppendId append, AppendResult result) {
 		for (LedgerRecord record : this.appends.answered(append, result)) {
@@ -140,9 +141,9 @@
 	}
 
 	/**
-	 * Takes the end of a dispatch. An end that is reported twice counts once.
+	 * Handles the end of a dispatch. A repeated report is ignored.
 	 * @param request the dispatched request
-	 * @param result how it ended
+	 * @param result the result
 	 */
 	public void dispatchEnded(RequestId request, DispatchResult result) {
 		DispatchTable.Dispatch dispatch = this.dispatches.remove(request);
@@ -150,108 +151,110 @@
 			return;
 		}
 		this.claims.ended(request, dispatch, result);
-		this.settlement.evaluate(dispatch.work());
+		this.resolution.evaluate(dispatch.pendingKey());
 	}
 
 	/**
-	 * Lets time pass: sends what is due and gives up on what is late.
+	 * Handles expired timers and sends checkpoints and appends that are due.
 	 */
 	public void tick() {
 		Instant now = this.clock.instant();
-		ClaimTimers.Subject subject = this.timers.takeDue(now);
+		ClaimTimers.Subject subject = this.timers.pollDue(now);
 		while (subject != null) {
 			switch (subject) {
-				case ClaimTimers.Deadline deadline -> deadlinePassed(deadline.request());
-				case ClaimTimers.Patience patience -> patienceEnded(patience.request());
-				case ClaimTimers.IntentTimeout timeout -> this.intents.timedOut(timeout.intent());
-				case ClaimTimers.Review review -> this.settlement.review(review.key());
+				case ClaimTimers.Deadline deadline -> deadlineExpired(deadline.request());
+				case ClaimTimers.ViewTimeout timeout -> viewTimedOut(timeout.request());
+				case ClaimTimers.IntentTimeout intentTimeout -> this.intents.timedOut(intentTimeout.intent());
+				case ClaimTimers.Reevaluation reevaluation -> this.resolution.reevaluate(reevaluation.key());
 			}
-			subject = this.timers.takeDue(now);
+			subject = this.timers.pollDue(now);
 		}
 		this.slots.views().forEach((view) -> sendCheckpointIfDue(view, now));
 		this.appends.tick();
 	}
 
 	/**
-	 * Gives up every call that was not dispatched yet, for another process to run: on a
-	 * reclaim notice. Claims that are still on their way are handed over when read.
-	 * @param receiver the process that the requests are moved to
-	 * @return the requests that get no answer here; the caller of this method moves them
-	 * to the receiver, which submits them
+	 * Hands over every call that has not been dispatched yet to another process after a
+	 * reclaim notice. Claims whose records have not been read yet are handed over when
+	 * they are read.
+	 * @param receiver the process that receives the requests
+	 * @return the requests that are not answered by this process; the caller must send
+	 * them to the receiver, which submits them
 	 */
 	public List<ClaimRequest> handOver(Incarnation receiver) {
-		this.departure.receiver(receiver);
-		List<ClaimRequest> moved = new ArrayList<>();
-		for (KeyWork work : this.works.all()) {
-			for (ClaimRequest request : work.waitingNow()) {
+		this.shutdown.receiver(receiver);
+		List<ClaimRequest> handedOver = new ArrayList<>();
+		for (KeyWork pendingKey : this.pendingKeys.all()) {
+			for (ClaimRequest request : pendingKey.waitingSnapshot()) {
 				if (!this.dispatches.contains(request.request())) {
-					moved.add(request);
-					this.works.forget(request.request());
+					handedOver.add(request);
+					this.pendingKeys.removeRequest(request.request());
 				}
 			}
-			this.intents.withdrawUnsent(work);
-			this.settlement.evaluate(work);
+			this.intents.dropUnsent(pendingKey);
+			this.resolution.evaluate(pendingKey);
 		}
-		return moved;
+		return handedOver;
 	}
 
 	/**
-	 * Gives up every call that was not dispatched yet and answers its callers: on a stop
-	 * with nobody to hand over to.
+	 * Refuses every call that has not been dispatched yet, on a shutdown without a
+	 * process to hand over to.
 	 */
 	public void abandon() {
-		this.departure.stop();
-		for (KeyWork work : this.works.all()) {
-			this.intents.drop(work);
-			ErrorKind kind = work.mayHaveRun() ? ErrorKind.CALL_IN_PROGRESS : ErrorKind.STOPPING;
-			for (ClaimRequest request : work.waitingNow()) {
+		this.shutdown.stop();
+		for (KeyWork pendingKey : this.pendingKeys.all()) {
+			this.intents.drop(pendingKey);
+			ErrorKind kind = pendingKey.mayHaveRun() ? ErrorKind.CALL_IN_PROGRESS : ErrorKind.STOPPING;
+			for (ClaimRequest request : pendingKey.waitingSnapshot()) {
 				if (!this.dispatches.contains(request.request())) {
 					this.answers.refuse(request.request(), kind);
 				}
 			}
-			this.settlement.evaluate(work);
+			this.resolution.evaluate(pendingKey);
 		}
 	}
 
 	/**
-	 * Returns whether a stop loses nothing: no call is running and the log has all that
-	 * this process knows.
-	 * @return whether the process can stop
+	 * Returns whether the process can stop without losing data: no call is running and
+	 * all records have been appended to the log.
+	 * @return {@code true} if the process can stop
 	 */
 	public boolean canStop() {
 		return this.dispatches.size() == 0 && this.appends.idle();
 	}
 
 	/**
-	 * Returns the records that the log does not have yet, for a peer to keep as well.
-	 * @return the records, empty when none waits
+	 * Returns the records that are not confirmed to be on the log, for replication to a
+	 * peer.
+	 * @return the unconfirmed records
 	 */
 	public Collection<LedgerRecord.ClaimantRecord> unconfirmed() {
 		return List.copyOf(this.appends.unconfirmed());
 	}
 
 	/**
-	 * Takes records of another process and sees that the log gets them. A record that the
-	 * log has already changes nothing.
-	 * @param records the records, as their author's {@link #unconfirmed()} gave them
+	 * Appends unconfirmed records of another process to the log. A record that is already
+	 * on the log has no effect.
+	 * @param records the records, as returned by {@link #unconfirmed()} of their author
 	 */
 	public void adopt(Collection<LedgerRecord.ClaimantRecord> records) {
 		records.forEach((record) -> this.appends.add(this.slots.slot(record.key()), record));
 	}
 
 	/**
-	 * Returns a slot's state for a peer whose view is not complete.
+	 * Returns a slot's state for a peer whose view is incomplete.
 	 * @param slot the slot
-	 * @return the parts of a checkpoint, empty if the view here is not complete either
+	 * @return the parts of a checkpoint, empty if this view is incomplete as well
 	 */
 	public List<LedgerRecord.Checkpoint> checkpoint(KeySlot slot) {
 		return this.slots.table(slot).checkpoint(this.records.next());
 	}
 
 	/**
-	 * Takes a slot's state from a peer, where the log no longer holds enough.
+	 * Restores a slot's state from a peer if the log no longer retains enough records.
 	 * @param slot the slot
-	 * @param parts the parts, as the peer's {@link #checkpoint} gave them
+	 * @param parts the parts, as returned by {@link #checkpoint} of the peer
 	 */
 	public void restore(KeySlot slot, List<LedgerRecord.Checkpoint> parts) {
 		this.reading.restore(slot, parts);
@@ -259,14 +262,14 @@
 
 	/**
 	 * Returns whether every slot's view is complete, so that any call can be claimed.
-	 * @return whether the process is ready for calls that may not be repeated
+	 * @return {@code true} if the process is ready for non-repeatable calls
 	 */
 	public boolean ready() {
 		return this.slots.complete();
 	}
 
 	/**
-	 * Returns a slot's table, for reading.
+	 * Returns a slot's table for read access.
 	 * @param slot the slot
 	 * @return the table
 	 */
@@ -275,26 +278,26 @@
 	}
 
 	/**
-	 * Returns the number of requests that wait for an answer.
+	 * Returns the number of requests waiting for an answer.
 	 * @return the number of requests
 	 */
 	public int waitingRequests() {
-		return this.works.waiting();
+		return this.pendingKeys.waitingCount();
 	}
 
 	/**
-	 * Returns the number of calls that run at endpoints.
+	 * Returns the number of calls running at endpoints.
 	 * @return the number of dispatches
 	 */
 	public int runningDispatches() {
 		return this.dispatches.size();
 	}
 
-	private @Nullable ErrorKind refusalAtTheDoor() {
-		if (this.departure.begun()) {
+	private @Nullable ErrorKind admissionError() {
+		if (this.shutdown.inProgress()) {
 			return ErrorKind.STOPPING;
 		}
-		if (this.works.waiting() >= this.settings.requests()) {
+		if (this.pendingKeys.waitingCount() >= this.settings.requests()) {
 			return ErrorKind.OVERLOADED;
 		}
 		if (this.appends.unconfirmed().size() >= this.settings.requests()) {
@@ -303,52 +306,52 @@
 		return null;
 	}
 
-	// The caller may repeat a call that runs or ran: then "not run" would be untrue
-	// although this request is not even looked at.
-	private void turnAway(ClaimRequest request, ErrorKind refusal) {
-		KeyWork work = this.works.work(request.key());
-		KeyTable table = this.slots.table(work.slot());
-		Optional<KeyStanding> state = table.complete() ? table.find(request.key()) : Optional.empty();
-		if (work.mayHaveRun() || state.filter((standing) -> mayRun(work, standing)).isPresent()) {
-			this.works.add(work, request);
-			this.settlement.evaluate(work);
-			if (this.works.waits(request.request())) {
+	// The request may repeat a call that is running or has run. Reporting "not run" would
+	// then be false, so the key must be checked before the request is refused.
+	private void refuseUnlessMayHaveRun(ClaimRequest request, ErrorKind error) {
+		KeyWork pendingKey = this.pendingKeys.getOrCreate(request.key());
+		KeyTable table = this.slots.table(pendingKey.slot());
+		Optional<KeyStatus> state = table.complete() ? table.find(request.key()) : Optional.empty();
+		if (pendingKey.mayHaveRun() || state.filter((status) -> mayRun(pendingKey, status)).isPresent()) {
+			this.pendingKeys.add(pendingKey, request);
+			this.resolution.evaluate(pendingKey);
+			if (this.pendingKeys.isWaiting(request.request())) {
 				this.answers.refuse(request.request(), ErrorKind.CALL_IN_PROGRESS);
 			}
 		}
 		else {
-			this.answers.refuse(request.request(), refusal);
+			this.answers.refuse(request.request(), error);
 		}
-		this.works.discardIfIdle(work);
+		this.pendingKeys.discardIfIdle(pendingKey);
 	}
 
-	private boolean mayRun(KeyWork work, KeyStanding standing) {
-		return switch (standing) {
-			case KeyState state -> state.ended() || !state.claimant().equals(this.self) || work.claim() == null;
+	private boolean mayRun(KeyWork pendingKey, KeyStatus status) {
+		return switch (status) {
+			case KeyState state -> state.ended() || !state.claimant().equals(this.self) || pendingKey.claim() == null;
 			case EndedKey _ -> true;
 		};
 	}
 
-	private void patienceEnded(RequestId request) {
-		KeyWork work = this.works.find(request);
-		if (work != null && work.attempt() == null && !work.mayHaveRun()) {
+	private void viewTimedOut(RequestId request) {
+		KeyWork pendingKey = this.pendingKeys.find(request);
+		if (pendingKey != null && pendingKey.pendingIntent() == null && !pendingKey.mayHaveRun()) {
 			this.answers.refuse(request, ErrorKind.LOG_UNREACHABLE);
-			this.works.discardIfIdle(work);
+			this.pendingKeys.discardIfIdle(pendingKey);
 		}
 	}
 
-	private void deadlinePassed(RequestId request) {
-		KeyWork work = this.works.find(request);
-		if (work == null) {
+	private void deadlineExpired(RequestId request) {
+		KeyWork pendingKey = this.pendingKeys.find(request);
+		if (pendingKey == null) {
 			return;
 		}
-		if (work.mayHaveRun() || (work.attempt() != null && work.waiting().size() > 1)) {
+		if (pendingKey.mayHaveRun() || (pendingKey.pendingIntent() != null && pendingKey.waiting().size() > 1)) {
 			this.answers.refuse(request, ErrorKind.CALL_IN_PROGRESS);
 			return;
 		}
-		this.intents.drop(work);
+		this.intents.drop(pendingKey);
 		this.answers.refuse(request, ErrorKind.LOG_UNREACHABLE);
-		this.settlement.evaluate(work);
+		this.resolution.evaluate(pendingKey);
 	}
 
 	private void sendCheckpointIfDue(SlotView view, Instant now) {
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimTimers.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ClaimTimers.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a {@link ClaimSystem} has to look at again, by time. A timer whose subject is gone
- * by then is passed over, so none is ever removed early.
+ * The timers of a {@link ClaimSystem}, ordered by time. Timers are never cancelled; a
+ * timer whose subject no longer exists is ignored.
  */
 final class ClaimTimers {
 
@@ -22,7 +22,7 @@
 		this.timers.add(new Timer(at, this.nextSequence++, subject));
 	}
 
-	@Nullable Subject takeDue(Instant now) {
+	@Nullable Subject pollDue(Instant now) {
 		Timer first = this.timers.peek();
 		if (first == null || now.isBefore(first.at())) {
 			return null;
@@ -31,7 +31,7 @@
 		return first.subject();
 	}
 
-	/** What a timer is for. */
+	/** The subject of a timer. */
 	sealed interface Subject {
 
 	}
@@ -41,22 +41,24 @@
 
 	}
 
-	/** The time by which the slot's view must be complete for a request. */
-	record Patience(RequestId request) implements Subject {
+	/** The timeout for the slot's view to become complete for a request. */
+	record ViewTimeout(RequestId request) implements Subject {
 
 	}
 
-	/** The time by which an intent must be read back. */
+	/** The timeout for an intent to be read back. */
 	record IntentTimeout(RecordId intent) implements Subject {
 
 	}
 
-	/** The time by which the key's standing claim is worth another look. */
-	record Review(CallKey key) implements Subject {
+	/** The time at which the key's current claim must be evaluated again. */
+	record Reevaluation(CallKey key) implements Subject {
 
 	}
 
-	/** A timer; those of one instant go off in the order in which they were set. */
+	/**
+	 * A timer. Timers of the same instant expire in the order in which they were added.
+	 */
 	private record Timer(Instant at, long sequence, Subject subject) {
 
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/DispatchResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/DispatchResult.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.ledger;
 
 /**
- * How the dispatch of a claimed call ended.
+ * The result of dispatching a claimed call.
  */
 public sealed interface DispatchResult {
 
@@ -15,8 +15,8 @@
 	}
 
 	/**
-	 * The endpoint surely never got the call's body. Only where this is certain; any
-	 * doubt is {@link OutcomeUnknown}.
+	 * The endpoint has certainly not received the call's body. If this is uncertain, the
+	 * result is {@link OutcomeUnknown}.
 	 */
 	record NeverSent() implements DispatchResult {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/DispatchTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/DispatchTable.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The calls of this process that run at endpoints, by the request that was sent.
+ * The calls of this process running at endpoints, by dispatched request.
  */
 final class DispatchTable {
 
@@ -34,8 +34,8 @@
 		return this.dispatches.size();
 	}
 
-	/** A call that runs at an endpoint, with the claim that lets it. */
-	record Dispatch(KeyWork work, OwnClaim claim) {
+	/** A call running at an endpoint, with the claim that permits it. */
+	record Dispatch(KeyWork pendingKey, OwnClaim claim) {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/EndedKey.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/EndedKey.java
@@ -3,25 +3,25 @@
 import java.time.Instant;
 
 /**
- * What is kept of an ended call for the rest of its key window once its answer is old:
- * enough to run it never again, to tell another body from its own and to name its
- * outcome.
+ * The compact form of an ended call after its answer has expired, kept for the rest of
+ * the key window: enough to prevent another run, to detect a different body and to report
+ * the outcome.
  *
  * @param key the digest of the key
  * @param body the first 64 bits of the SHA-256 of the body's digest
- * @param expiresAt when the key window is over, exactly as the whole state had it: with a
- * rounded time, readers with other settings would let other intents win
+ * @param expiresAt the end of the key window, exactly as in the full state: with a
+ * rounded time, readers with different settings would let different intents win
  * @param status the HTTP status of the answer, or {@link #OUTCOME_UNKNOWN}
  */
-public record EndedKey(KeyDigest key, long body, Instant expiresAt, int status) implements KeyStanding {
+public record EndedKey(KeyDigest key, long body, Instant expiresAt, int status) implements KeyStatus {
 
-	/** The status of a call of which its claimant did not learn how it ended. */
+	/** The status of a call whose outcome is unknown to its claimant. */
 	public static final int OUTCOME_UNKNOWN = 0;
 
 	static EndedKey of(KeyState state) {
 		StoredAnswer answer = state.answer();
 		int status = (answer != null) ? answer.status() : OUTCOME_UNKNOWN;
-		return new EndedKey(KeyDigest.of(state.key()), KeyDigest.shortened(state.digest()),
+		return new EndedKey(KeyDigest.of(state.key()), KeyDigest.truncate(state.digest()),
 				state.intentAt().plus(state.window()), status);
 	}
 
@@ -37,7 +37,7 @@
 
 	@Override
 	public boolean matches(BodyDigest digest) {
-		return this.body == KeyDigest.shortened(digest);
+		return this.body == KeyDigest.truncate(digest);
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/EndedKeys.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/EndedKeys.java
@@ -7,26 +7,26 @@
 import java.util.List;
 
 /**
- * Ended keys in a row, immutable and packed: as objects, the keys of a day would take
+ * An immutable, packed sequence of ended keys. As objects, the keys of a day would take
  * several times the memory while a checkpoint is written.
  */
 public final class EndedKeys {
 
-	/** No keys. */
+	/** An empty sequence. */
 	public static final EndedKeys NONE = new EndedKeys(new byte[0]);
 
-	/** The bytes that one key takes. */
+	/** The packed size of a key in bytes. */
 	public static final int KEY_BYTES = 38;
 
-	private static final int LOW = 8;
+	private static final int LOW_OFFSET = 8;
 
-	private static final int BODY = 16;
+	private static final int BODY_OFFSET = 16;
 
-	private static final int EXPIRES_SECOND = 24;
+	private static final int EXPIRES_SECOND_OFFSET = 24;
 
-	private static final int EXPIRES_NANO = 32;
+	private static final int EXPIRES_NANO_OFFSET = 32;
 
-	private static final int STATUS = 36;
+	private static final int STATUS_OFFSET = 36;
 
 	private final byte[] packed;
 
@@ -35,10 +35,10 @@
 	}
 
 	/**
-	 * Returns the keys that {@link #toBytes()} packed.
-	 * @param packed the bytes
+	 * Creates a sequence from its packed form.
+	 * @param packed the bytes, as returned by {@link #toBytes()}
 	 * @return the keys
-	 * @throws IllegalArgumentException if the bytes are not whole keys
+	 * @throws IllegalArgumentException if the length is not a multiple of the key size
 	 */
 	public static EndedKeys of(byte[] packed) {
 		if (packed.length % KEY_BYTES != 0) {
@@ -48,7 +48,7 @@
 	}
 
 	/**
-	 * Returns keys packed.
+	 * Packs keys.
 	 * @param keys the keys
 	 * @return the same keys in the same order
 	 */
@@ -64,24 +64,24 @@
 		int start = index * KEY_BYTES;
 		Instant expiresAt = key.expiresAt();
 		buffer.putLong(start, key.key().high());
-		buffer.putLong(start + LOW, key.key().low());
-		buffer.putLong(start + BODY, key.body());
-		buffer.putLong(start + EXPIRES_SECOND, expiresAt.getEpochSecond());
-		buffer.putInt(start + EXPIRES_NANO, expiresAt.getNano());
-		buffer.putShort(start + STATUS, (short) key.status());
+		buffer.putLong(start + LOW_OFFSET, key.key().low());
+		buffer.putLong(start + BODY_OFFSET, key.body());
+		buffer.putLong(start + EXPIRES_SECOND_OFFSET, expiresAt.getEpochSecond());
+		buffer.putInt(start + EXPIRES_NANO_OFFSET, expiresAt.getNano());
+		buffer.putShort(start + STATUS_OFFSET, (short) key.status());
 	}
 
 	static EndedKey get(ByteBuffer buffer, int index) {
 		int start = index * KEY_BYTES;
-		Instant expiresAt = Instant.ofEpochSecond(buffer.getLong(start + EXPIRES_SECOND),
-				buffer.getInt(start + EXPIRES_NANO));
-		return new EndedKey(keyAt(buffer, index), buffer.getLong(start + BODY), expiresAt,
-				buffer.getShort(start + STATUS));
+		Instant expiresAt = Instant.ofEpochSecond(buffer.getLong(start + EXPIRES_SECOND_OFFSET),
+				buffer.getInt(start + EXPIRES_NANO_OFFSET));
+		return new EndedKey(keyAt(buffer, index), buffer.getLong(start + BODY_OFFSET), expiresAt,
+				buffer.getShort(start + STATUS_OFFSET));
 	}
 
 	static KeyDigest keyAt(ByteBuffer buffer, int index) {
 		int start = index * KEY_BYTES;
-		return new KeyDigest(buffer.getLong(start), buffer.getLong(start + LOW));
+		return new KeyDigest(buffer.getLong(start), buffer.getLong(start + LOW_OFFSET));
 	}
 
 	/**
@@ -94,7 +94,7 @@
 
 	/**
 	 * Returns the keys as objects.
-	 * @return the keys, in their order
+	 * @return the keys, in order
 	 */
 	public List<EndedKey> toList() {
 		ByteBuffer buffer = ByteBuffer.wrap(this.packed);
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/IntentSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/IntentSystem.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 import org.banyancove.core.error.ErrorKind;
-import org.banyancove.core.ledger.KeyWork.Attempt;
+import org.banyancove.core.ledger.KeyWork.PendingIntent;
 
 /**
- * This process's intents from the wish to claim a key until the intent is read back, has
- * lost, or is given up on.
+ * Manages this process's intents from their creation until they are read back, lose
+ * against another intent, or are dropped.
  */
 final class IntentSystem {
 
@@ -22,7 +22,7 @@
 
 	private final SlotTable slots;
 
-	private final KeyWorkTable works;
+	private final PendingKeyTable pendingKeys;
 
 	private final AppendQueue appends;
 
@@ -30,52 +30,52 @@
 
 	private final ClaimAnswerSystem answers;
 
-	private final Departure departure;
+	private final ShutdownState shutdown;
 
-	private final Map<RecordId, Attempt> attempts = new HashMap<>();
+	private final Map<RecordId, PendingIntent> pendingIntents = new HashMap<>();
 
 	IntentSystem(RecordSequence records, InstantSource clock, ClaimSettings settings, SlotTable slots,
-			KeyWorkTable works, AppendQueue appends, ClaimTimers timers, ClaimAnswerSystem answers,
-			Departure departure) {
+			PendingKeyTable pendingKeys, AppendQueue appends, ClaimTimers timers, ClaimAnswerSystem answers,
+			ShutdownState shutdown) {
 		this.records = records;
 		this.clock = clock;
 		this.settings = settings;
 		this.slots = slots;
-		this.works = works;
+		this.pendingKeys = pendingKeys;
 		this.appends = appends;
 		this.timers = timers;
 		this.answers = answers;
-		this.departure = departure;
+		this.shutdown = shutdown;
 	}
 
-	// Claims a key for which no intent stands, if a request waits for it.
-	void pursue(KeyWork work) {
-		work.claim(null);
-		work.claimedElsewhere(false);
-		forgetLost(work);
-		if (work.waiting().isEmpty() || work.attempt() != null || this.departure.begun()) {
+	// Appends an intent for an unclaimed key if a request is waiting for it.
+	void claimIfRequested(KeyWork pendingKey) {
+		pendingKey.claim(null);
+		pendingKey.claimedElsewhere(false);
+		clearIfRead(pendingKey);
+		if (pendingKey.waiting().isEmpty() || pendingKey.pendingIntent() != null || this.shutdown.inProgress()) {
 			return;
 		}
 		Instant now = this.clock.instant();
-		if (this.slots.view(work.slot()).unreachable(now)) {
-			this.answers.refuseWaiting(work, ErrorKind.LOG_UNREACHABLE);
+		if (this.slots.view(pendingKey.slot()).unreachable(now)) {
+			this.answers.refuseWaiting(pendingKey, ErrorKind.LOG_UNREACHABLE);
 			return;
 		}
-		ClaimRequest first = work.waiting().firstEntry().getValue();
+		ClaimRequest first = pendingKey.waiting().firstEntry().getValue();
 		RecordId intent = this.records.next();
-		Attempt attempt = new Attempt(intent, work.key());
-		work.attempt(attempt);
-		this.attempts.put(intent, attempt);
+		PendingIntent pendingIntent = new PendingIntent(intent, pendingKey.key());
+		pendingKey.pendingIntent(pendingIntent);
+		this.pendingIntents.put(intent, pendingIntent);
 		this.timers.add(now.plus(this.settings.appendTimeout()), new ClaimTimers.IntentTimeout(intent));
-		this.appends.addIntent(work.slot(), new LedgerRecord.Intent(intent, this.records.author(), work.key(),
-				first.digest(), this.settings.keyWindow()));
+		this.appends.addIntent(pendingKey.slot(), new LedgerRecord.Intent(intent, this.records.author(),
+				pendingKey.key(), first.digest(), this.settings.keyWindow()));
 	}
 
 	void acknowledged(LedgerRecord record) {
-		Attempt attempt = this.attempts.get(record.id());
-		if (attempt != null) {
-			attempt.acknowledge();
-			this.slots.view(this.slots.slot(attempt.key())).reached();
+		PendingIntent pendingIntent = this.pendingIntents.get(record.id());
+		if (pendingIntent != null) {
+			pendingIntent.acknowledge();
+			this.slots.view(this.slots.slot(pendingIntent.key())).reached();
 		}
 	}
 
@@ -84,51 +84,51 @@
 			return;
 		}
 		this.slots.view(slot).reached();
-		Attempt attempt = this.attempts.remove(intent.id());
-		if (attempt != null) {
-			attempt.readAt(offset);
-			this.appends.withdraw(slot, intent.id());
+		PendingIntent pendingIntent = this.pendingIntents.remove(intent.id());
+		if (pendingIntent != null) {
+			pendingIntent.markRead(offset);
+			this.appends.cancel(slot, intent.id());
 		}
 	}
 
-	void forgetLost(KeyWork work) {
-		Attempt attempt = work.attempt();
-		if (attempt != null && attempt.read()) {
-			work.attempt(null);
+	void clearIfRead(KeyWork pendingKey) {
+		PendingIntent pendingIntent = pendingKey.pendingIntent();
+		if (pendingIntent != null && pendingIntent.read()) {
+			pendingKey.pendingIntent(null);
 		}
 	}
 
-	// Once dropped, an intent is never dispatched, whenever and wherever it shows up:
-	// only this process could, and it has no attempt to match it with.
-	void drop(KeyWork work) {
-		Attempt attempt = work.attempt();
-		if (attempt != null) {
-			this.attempts.remove(attempt.intent());
-			this.appends.withdraw(work.slot(), attempt.intent());
-			work.attempt(null);
+	// A dropped intent is never dispatched, even if it appears on the log later: only
+	// this process could dispatch it, and it no longer has a matching pending intent.
+	void drop(KeyWork pendingKey) {
+		PendingIntent pendingIntent = pendingKey.pendingIntent();
+		if (pendingIntent != null) {
+			this.pendingIntents.remove(pendingIntent.intent());
+			this.appends.cancel(pendingKey.slot(), pendingIntent.intent());
+			pendingKey.pendingIntent(null);
 		}
 	}
 
-	void withdrawUnsent(KeyWork work) {
-		Attempt attempt = work.attempt();
-		if (attempt != null && this.appends.holds(work.slot(), attempt.intent())) {
-			drop(work);
+	void dropUnsent(KeyWork pendingKey) {
+		PendingIntent pendingIntent = pendingKey.pendingIntent();
+		if (pendingIntent != null && this.appends.isQueued(pendingKey.slot(), pendingIntent.intent())) {
+			drop(pendingKey);
 		}
 	}
 
 	void timedOut(RecordId intent) {
-		Attempt attempt = this.attempts.get(intent);
-		if (attempt == null || attempt.acknowledged()) {
+		PendingIntent pendingIntent = this.pendingIntents.get(intent);
+		if (pendingIntent == null || pendingIntent.acknowledged()) {
 			return;
 		}
-		KeyWork work = this.works.work(attempt.key());
-		drop(work);
+		KeyWork pendingKey = this.pendingKeys.getOrCreate(pendingIntent.key());
+		drop(pendingKey);
 		Instant now = this.clock.instant();
-		this.slots.view(work.slot()).unreachableUntil(now.plus(this.answers.jittered()));
-		if (!work.mayHaveRun()) {
-			this.answers.refuseWaiting(work, ErrorKind.LOG_UNREACHABLE);
+		this.slots.view(pendingKey.slot()).unreachableUntil(now.plus(this.answers.jitteredRetryAfter()));
+		if (!pendingKey.mayHaveRun()) {
+			this.answers.refuseWaiting(pendingKey, ErrorKind.LOG_UNREACHABLE);
 		}
-		this.works.discardIfIdle(work);
+		this.pendingKeys.discardIfIdle(pendingKey);
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyDigest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyDigest.java
@@ -6,10 +6,10 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * The first 128 bits of the SHA-256 of a key. It stands for the key where the key itself
- * is too large to be kept. Two keys with one digest would take each other's outcome;
- * among 10^9 keys the chance is about 10^-21, and a caller who sought such a pair could
- * only confuse keys of its own account.
+ * The first 128 bits of the SHA-256 of a key, which represent the key where the key
+ * itself is too large to be kept. Two keys with the same digest would share an outcome.
+ * Among 10^9 keys the probability of a collision is about 10^-21, and a caller who
+ * constructs a collision can only affect keys of its own account.
  *
  * @param high the first 64 bits
  * @param low the next 64 bits
@@ -19,7 +19,7 @@
 	private static final byte SEPARATOR = 0;
 
 	/**
-	 * Returns the digest of a key, the same in every process.
+	 * Returns the digest of a key, which is the same in every process.
 	 * @param key the key
 	 * @return the digest
 	 */
@@ -28,7 +28,7 @@
 		return new KeyDigest(hash.getLong(), hash.getLong());
 	}
 
-	static long shortened(BodyDigest digest) {
+	static long truncate(BodyDigest digest) {
 		return sha256(digest.value()).getLong();
 	}
 
@@ -42,7 +42,7 @@
 			return ByteBuffer.wrap(digest.digest());
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("SHA-256 must be there in every Java runtime", ex);
+			throw new IllegalStateException("SHA-256 must be available in every Java runtime", ex);
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/KeySlot.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/KeySlot.java
@@ -4,16 +4,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * One of the fixed number of slots that keys hash to, each a stream of the log.
+ * A hash partition of the keys. Each of the fixed number of slots is a stream of the log.
  * <p>
- * All processes that share a log must count the same slots: with two counts one key would
- * have two streams, and would be claimed on both.
+ * All processes that share a log must use the same number of slots: otherwise a key would
+ * map to two streams and could be claimed on both.
  *
  * @param index the slot's index, from 0
  */
 public record KeySlot(int index) implements Comparable<KeySlot> {
 
-	/** The number of slots where the settings give none. */
+	/** Default number of slots. */
 	public static final int DEFAULT_COUNT = 8;
 
 	private static final String STREAM_PREFIX = "keys-";
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Returns the slot of a key, the same in every process.
+	 * Returns the slot of a key, which is the same in every process.
 	 * @param key the key
 	 * @param count the number of slots
 	 * @return the slot
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Returns the name of the log's stream that holds the slot.
+	 * Returns the name of the slot's stream on the log.
 	 * @return the stream's name
 	 */
 	public String streamName() {
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyState.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyState.java
@@ -7,23 +7,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the log says about one key.
+ * The full state of a key according to the log.
  *
  * @param key the key
- * @param digest the digest of the body that the standing intent is for
+ * @param digest the body digest of the winning intent
  * @param claimant the only process that may run the call
- * @param intentOffset the offset of the standing intent
+ * @param intentOffset the offset of the winning intent
  * @param claimOffset the offset of the record that made {@code claimant} the claimant:
  * the intent or the last accepted handover
- * @param intentAt the log's time of the intent
- * @param window how long after {@code intentAt} the key stays known
- * @param endedAt the log's time of the record by which the claimant said that the call
- * ended, or {@code null} if it did not
- * @param answer the answer of an ended call, or {@code null} if it is not known
+ * @param intentAt the log time of the intent
+ * @param window how long after {@code intentAt} the key is retained
+ * @param endedAt the log time of the claimant's outcome record, or {@code null} if the
+ * call has not ended
+ * @param answer the answer of an ended call, or {@code null} if it is unknown
  */
 public record KeyState(CallKey key, BodyDigest digest, Incarnation claimant, long intentOffset, long claimOffset,
 		Instant intentAt, Duration window, @Nullable Instant endedAt,
-		@Nullable StoredAnswer answer) implements KeyStanding {
+		@Nullable StoredAnswer answer) implements KeyStatus {
 
 	@Override
 	public boolean ended() {
@@ -35,9 +35,9 @@
 		return this.digest.equals(other);
 	}
 
-	// Whether the answer is no longer kept, which changes nothing for who may run the
-	// call: a later record cannot touch an ended one.
-	boolean answerOld(Instant logTime, Duration answerWindow) {
+	// Whether the answer is no longer kept. This does not affect which process may run
+	// the call, since no later record changes an ended call.
+	boolean isAnswerExpired(Instant logTime, Duration answerWindow) {
 		return this.endedAt != null && Duration.between(this.endedAt, logTime).compareTo(answerWindow) >= 0;
 	}
 
@@ -51,7 +51,7 @@
 				this.window, at, result);
 	}
 
-	KeyState handedTo(Incarnation receiver, long offset) {
+	KeyState handedOverTo(Incarnation receiver, long offset) {
 		return new KeyState(this.key, this.digest, receiver, this.intentOffset, offset, this.intentAt, this.window,
 				null, null);
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyTable.java
@@ -15,33 +15,34 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The fold of one slot's stream: which process may run which call, and how calls ended.
+ * The state derived from a slot's stream: which process may run which call, and the
+ * outcomes of calls.
  * <p>
- * Every process that reads the same records has the same table: all contests are decided
- * by offset, and time is that of the records. Used by one thread.
+ * The table is a deterministic function of the records read: conflicts are resolved by
+ * offset, and time is that of the records. Not thread-safe.
  */
 public final class KeyTable {
 
-	private static final int CHECKPOINT_PART_KEYS = 500;
+	private static final int KEYS_PER_CHECKPOINT_PART = 500;
 
-	private static final int CHECKPOINT_PART_ENDED_KEYS = 4000;
+	private static final int ENDED_KEYS_PER_CHECKPOINT_PART = 4000;
 
-	private static final int LONGEST_REPLAY = 200_000;
+	private static final int MAXIMUM_REPLAY_RECORDS = 200_000;
 
 	private final Duration answerWindow;
 
-	// Calls that run or may run, in the order of their intents.
+	// Calls that are or may be running, in the order of their intents.
 	private final LinkedHashMap<CallKey, KeyState> claimed = new LinkedHashMap<>();
 
-	// Calls that ended a short while ago, in the order of their outcomes.
+	// Recently ended calls with their answers, in the order of their outcomes.
 	private final LinkedHashMap<CallKey, KeyState> answered = new LinkedHashMap<>();
 
-	// Calls that ended before that.
+	// Ended calls whose answers have expired.
 	private final EndedKeyTable ended = new EndedKeyTable();
 
-	private final Deque<LoggedRecord> unfolded = new ArrayDeque<>();
+	private final Deque<LoggedRecord> replayRecords = new ArrayDeque<>();
 
-	private final SharedValues values = new SharedValues();
+	private final ValueInterner values = new ValueInterner();
 
 	private final CheckpointParts checkpointParts = new CheckpointParts();
 
@@ -63,7 +64,7 @@
 
 	/**
 	 * Creates an empty table.
-	 * @param answerWindow how long after its call ended an answer is kept, by the log's
+	 * @param answerWindow how long an answer is kept after the end of its call, in log
 	 * time
 	 */
 	public KeyTable(Duration answerWindow) {
@@ -71,9 +72,9 @@
 	}
 
 	/**
-	 * Returns whether the table covers all that still counts: it was folded from the
-	 * stream's beginning or from a checkpoint, without a gap.
-	 * @return whether the view is complete
+	 * Returns whether the table includes all unexpired keys: it was built without a gap
+	 * from the beginning of the stream or from a checkpoint.
+	 * @return {@code true} if the view is complete
 	 */
 	public boolean complete() {
 		return this.complete;
@@ -96,15 +97,15 @@
 	}
 
 	/**
-	 * Returns the time since which no checkpoint was read.
-	 * @return the log's time of the newest whole checkpoint, or of the first record
+	 * Returns the time of the last checkpoint read.
+	 * @return the log time of the newest complete checkpoint, or of the first record
 	 */
 	public Instant checkpointAt() {
 		return this.checkpointAt;
 	}
 
 	/**
-	 * Returns the number of keys held, expired ones not yet removed included.
+	 * Returns the number of keys, including expired keys that have not been removed yet.
 	 * @return the number of keys
 	 */
 	public int size() {
@@ -112,62 +113,63 @@
 	}
 
 	/**
-	 * Returns what the log says about a key.
+	 * Returns the status of a key.
 	 * @param key the key
-	 * @return what stands, or empty if no intent does
+	 * @return the status, empty if the key is not claimed
 	 * @throws IllegalStateException if the view is not complete
 	 */
-	public Optional<KeyStanding> find(CallKey key) {
+	public Optional<KeyStatus> find(CallKey key) {
 		if (!this.complete) {
 			throw new IllegalStateException("the view is not complete at offset " + this.nextOffset);
 		}
-		KeyState whole = whole(key);
-		return Optional.ofNullable((whole != null) ? whole : digest(key));
+		KeyState state = findState(key);
+		return Optional.ofNullable((state != null) ? state : findEnded(key));
 	}
 
 	/**
-	 * Folds one record. Records that were read before are passed over.
+	 * Applies a record. Records that were already read are ignored.
 	 * @param offset the record's offset
 	 * @param record the record
-	 * @param appendedAt the log's time of the append
+	 * @param appendedAt the log time of the append
 	 */
 	public void apply(long offset, LedgerRecord record, Instant appendedAt) {
 		if (offset < this.nextOffset) {
 			return;
 		}
 		if (offset > this.nextOffset) {
-			lose(offset);
+			recordGap(offset);
 		}
 		this.nextOffset = offset + 1;
 		advance(appendedAt);
 		if (this.complete) {
-			fold(offset, record, appendedAt);
+			applyComplete(offset, record, appendedAt);
 		}
 		else {
-			postpone(new LoggedRecord(offset, record, appendedAt));
+			addToReplay(new LoggedRecord(offset, record, appendedAt));
 		}
 		if (record instanceof LedgerRecord.Checkpoint checkpoint) {
-			collect(checkpoint, appendedAt);
+			collectPart(checkpoint, appendedAt);
 		}
 	}
 
 	/**
-	 * Notes that all records before an offset are gone. If they were not all read, the
-	 * view is incomplete until a checkpoint is read: an intent may be among them.
-	 * @param firstRetained the offset of the first record that can still be read
+	 * Handles the trimming of all records before an offset. If some of them were not
+	 * read, the view is incomplete until a checkpoint is read, since they may include an
+	 * intent.
+	 * @param firstRetained the offset of the first retained record
 	 */
 	public void trimmed(long firstRetained) {
 		if (firstRetained > this.nextOffset) {
-			lose(firstRetained);
+			recordGap(firstRetained);
 		}
 	}
 
 	/**
-	 * Notes that the stream holds no record, all before an offset having been trimmed by
-	 * age. Where retention is longer than the key window, each key among them has
-	 * expired, so the empty view is complete. Without this rule a stream that nobody
-	 * wrote to for a while could never be claimed on again.
-	 * @param endOffset the offset that the next record will get
+	 * Handles a stream without records after all records before an offset were trimmed by
+	 * age. If retention is at least as long as the key window, each of their keys has
+	 * expired, so the empty view is complete. Without this rule, no key of a stream that
+	 * was idle for long could ever be claimed again.
+	 * @param endOffset the offset of the next record to be appended
 	 */
 	public void emptied(long endOffset) {
 		if (endOffset < this.nextOffset || (this.complete && endOffset == this.nextOffset)) {
@@ -179,22 +181,22 @@
 	}
 
 	/**
-	 * Returns the state as records for the log, empty if the view is not complete.
-	 * @param checkpoint the identifier of the whole checkpoint
-	 * @return the parts, to be appended together
+	 * Returns the state as records for the log.
+	 * @param checkpoint the identifier of the checkpoint
+	 * @return the parts, to be appended together; empty if the view is incomplete
 	 */
 	public List<LedgerRecord.Checkpoint> checkpoint(RecordId checkpoint) {
 		if (!this.complete) {
 			return List.of();
 		}
 		List<KeyState> live = states().stream().filter((state) -> !state.expired(this.logTime)).toList();
-		List<EndedKeys> digests = this.ended.live(this.logTime, CHECKPOINT_PART_ENDED_KEYS);
-		int stateParts = Math.ceilDiv(live.size(), CHECKPOINT_PART_KEYS);
+		List<EndedKeys> digests = this.ended.live(this.logTime, ENDED_KEYS_PER_CHECKPOINT_PART);
+		int stateParts = Math.ceilDiv(live.size(), KEYS_PER_CHECKPOINT_PART);
 		int parts = Math.max(1, stateParts + digests.size());
 		List<LedgerRecord.Checkpoint> records = new ArrayList<>(parts);
 		for (int part = 0; part < parts; part++) {
-			int from = Math.min(live.size(), part * CHECKPOINT_PART_KEYS);
-			int to = Math.min(live.size(), from + CHECKPOINT_PART_KEYS);
+			int from = Math.min(live.size(), part * KEYS_PER_CHECKPOINT_PART);
+			int to = Math.min(live.size(), from + KEYS_PER_CHECKPOINT_PART);
 			EndedKeys keys = (part < stateParts || digests.isEmpty()) ? EndedKeys.NONE : digests.get(part - stateParts);
 			RecordId id = new RecordId(checkpoint + "/" + part);
 			records.add(new LedgerRecord.Checkpoint(id, checkpoint, this.nextOffset, this.logTime, part, parts,
@@ -204,9 +206,10 @@
 	}
 
 	/**
-	 * Takes a checkpoint that a peer sent from its memory. It serves like one from the
-	 * log, and may be ahead of what was read here. A complete view ignores it.
-	 * @param parts all parts, as a peer's {@link #checkpoint} gave them
+	 * Restores a checkpoint received from a peer. It is equivalent to a checkpoint on the
+	 * log and may be ahead of the records read by this process. Ignored if the view is
+	 * complete.
+	 * @param parts all parts, as returned by {@link #checkpoint} of the peer
 	 */
 	public void restore(List<LedgerRecord.Checkpoint> parts) {
 		if (this.complete || parts.isEmpty()) {
@@ -214,7 +217,7 @@
 		}
 		LedgerRecord.Checkpoint last = parts.getLast();
 		if (last.through() > this.nextOffset) {
-			this.unfolded.clear();
+			this.replayRecords.clear();
 			this.nextOffset = last.through();
 			this.logTime = last.logTime();
 			this.checkpointAt = last.logTime();
@@ -226,8 +229,8 @@
 	}
 
 	/**
-	 * Returns the keys that are kept whole: those that run in the order of their intents,
-	 * then the ended ones in the order of their outcomes.
+	 * Returns the full states: running calls in the order of their intents, then ended
+	 * calls in the order of their outcomes.
 	 * @return an immutable copy
 	 */
 	public List<KeyState> states() {
@@ -238,8 +241,8 @@
 	}
 
 	/**
-	 * Returns the keys of which only a digest is kept, without the expired ones.
-	 * @return the keys, in the order in which their answers became old
+	 * Returns the unexpired keys of which only a digest is kept.
+	 * @return the keys, in the order in which their answers expired
 	 */
 	public List<EndedKey> endedKeys() {
 		return this.ended.live(this.logTime, Integer.MAX_VALUE)
@@ -252,11 +255,11 @@
 		this.claimed.clear();
 		this.answered.clear();
 		this.ended.clear();
-		this.unfolded.clear();
+		this.replayRecords.clear();
 		this.checkpointParts.clear();
 	}
 
-	private void lose(long offset) {
+	private void recordGap(long offset) {
 		clear();
 		this.nextOffset = offset;
 		this.complete = false;
@@ -271,63 +274,63 @@
 		}
 	}
 
-	private void postpone(LoggedRecord logged) {
-		if (this.unfolded.size() == LONGEST_REPLAY) {
-			this.unfolded.removeFirst();
+	private void addToReplay(LoggedRecord logged) {
+		if (this.replayRecords.size() == MAXIMUM_REPLAY_RECORDS) {
+			this.replayRecords.removeFirst();
 		}
-		this.unfolded.addLast(logged);
+		this.replayRecords.addLast(logged);
 	}
 
-	private void fold(long offset, LedgerRecord record, Instant appendedAt) {
+	private void applyComplete(long offset, LedgerRecord record, Instant appendedAt) {
 		switch (record) {
-			case LedgerRecord.Intent intent -> claim(offset, intent, appendedAt);
-			case LedgerRecord.ClaimantRecord claimant -> settle(offset, claimant);
+			case LedgerRecord.Intent intent -> applyIntent(offset, intent, appendedAt);
+			case LedgerRecord.ClaimantRecord claimant -> applyClaimantRecord(offset, claimant);
 			case LedgerRecord.Checkpoint _, LedgerRecord.Unrecognized _ -> {
 			}
 		}
-		removeOld();
+		removeExpired();
 	}
 
-	private void claim(long offset, LedgerRecord.Intent intent, Instant appendedAt) {
-		if (whole(intent.key()) != null || digest(intent.key()) != null) {
+	private void applyIntent(long offset, LedgerRecord.Intent intent, Instant appendedAt) {
+		if (findState(intent.key()) != null || findEnded(intent.key()) != null) {
 			return;
 		}
 		Instant intentAt = appendedAt.isBefore(this.logTime) ? this.logTime : appendedAt;
-		CallKey key = this.values.share(intent.key());
-		KeyState state = new KeyState(key, intent.digest(), this.values.share(intent.author()), offset, offset,
-				intentAt, this.values.share(intent.window()), null, null);
+		CallKey key = this.values.intern(intent.key());
+		KeyState state = new KeyState(key, intent.digest(), this.values.intern(intent.author()), offset, offset,
+				intentAt, this.values.intern(intent.window()), null, null);
 		this.answered.remove(key);
 		this.claimed.remove(key);
 		this.claimed.put(key, state);
 	}
 
-	private void settle(long offset, LedgerRecord.ClaimantRecord record) {
-		KeyState state = whole(record.key());
-		if (state == null || state.ended() || !holds(state, record)) {
+	private void applyClaimantRecord(long offset, LedgerRecord.ClaimantRecord record) {
+		KeyState state = findState(record.key());
+		if (state == null || state.ended() || !isClaimant(state, record)) {
 			return;
 		}
 		switch (record) {
 			case LedgerRecord.Outcome outcome -> {
 				this.claimed.remove(state.key());
-				this.answered.put(state.key(), state.endedWith(this.values.share(outcome.answer()), this.logTime));
+				this.answered.put(state.key(), state.endedWith(this.values.intern(outcome.answer()), this.logTime));
 			}
 			case LedgerRecord.Released _ -> this.claimed.remove(state.key());
 			case LedgerRecord.HandedOver handedOver ->
-				this.claimed.put(state.key(), state.handedTo(handedOver.receiver(), offset));
+				this.claimed.put(state.key(), state.handedOverTo(handedOver.receiver(), offset));
 		}
 	}
 
-	private boolean holds(KeyState state, LedgerRecord.ClaimantRecord record) {
+	private boolean isClaimant(KeyState state, LedgerRecord.ClaimantRecord record) {
 		return state.claimant().equals(record.author()) && state.claimOffset() == record.claimOffset();
 	}
 
-	private @Nullable KeyState whole(CallKey key) {
+	private @Nullable KeyState findState(CallKey key) {
 		KeyState running = this.claimed.get(key);
 		KeyState state = (running != null) ? running : this.answered.get(key);
 		return (state == null || state.expired(this.logTime)) ? null : state;
 	}
 
-	private @Nullable EndedKey digest(CallKey key) {
+	private @Nullable EndedKey findEnded(CallKey key) {
 		if (this.ended.size() == 0) {
 			return null;
 		}
@@ -335,35 +338,35 @@
 		return (found == null || found.expired(this.logTime)) ? null : found;
 	}
 
-	// Only the oldest are looked at, so that a record costs the same however many keys
-	// stand: a key that is not removed yet is still passed over where it is looked up.
-	private void removeOld() {
+	// Only the oldest keys are checked, so that the cost of a record does not depend on
+	// the number of keys. Lookups ignore expired keys that have not been removed yet.
+	private void removeExpired() {
 		Iterator<KeyState> running = this.claimed.values().iterator();
 		while (running.hasNext() && running.next().expired(this.logTime)) {
 			running.remove();
 		}
 		Iterator<KeyState> oldest = this.answered.values().iterator();
-		while (oldest.hasNext() && removeOld(oldest.next())) {
+		while (oldest.hasNext() && compactIfExpired(oldest.next())) {
 			oldest.remove();
 		}
 		this.ended.removeExpired(this.logTime);
 	}
 
-	// Without the answers, the keys of a day fit: a repeat still learns that its call ran
-	// and how it ended.
-	private boolean removeOld(KeyState state) {
+	// Dropping expired answers lets the keys of a day fit into memory. A repeat still
+	// learns that its call ran and how it ended.
+	private boolean compactIfExpired(KeyState state) {
 		if (state.expired(this.logTime)) {
 			return true;
 		}
-		if (!state.answerOld(this.logTime, this.answerWindow)) {
+		if (!state.isAnswerExpired(this.logTime, this.answerWindow)) {
 			return false;
 		}
-		Invariant.check(state.ended(), "%s is kept by its digest although its claimant may still end it", state.key());
+		Invariant.check(state.ended(), "%s is reduced to its digest although its call has not ended", state.key());
 		this.ended.add(EndedKey.of(state));
 		return true;
 	}
 
-	private void collect(LedgerRecord.Checkpoint part, Instant appendedAt) {
+	private void collectPart(LedgerRecord.Checkpoint part, Instant appendedAt) {
 		if (this.complete) {
 			this.checkpointAt = (part.part() == part.parts() - 1) ? appendedAt : this.checkpointAt;
 			return;
@@ -375,29 +378,29 @@
 		}
 	}
 
-	// The replay starts at the log time of the checkpoint: with that of the newest
-	// record, a key that expired in between would let an intent win that lost
-	// everywhere else.
+	// The replay starts at the log time of the checkpoint. With the time of the newest
+	// record, a key that expired in between would let an intent win that lost in every
+	// other process.
 	private void restore(LedgerRecord.Checkpoint checkpoint, List<LedgerRecord.Checkpoint> parts) {
-		LoggedRecord first = this.unfolded.peekFirst();
+		LoggedRecord first = this.replayRecords.peekFirst();
 		if (first == null || first.offset() > checkpoint.through()) {
 			return;
 		}
 		putAll(parts);
 		this.complete = true;
 		this.logTime = checkpoint.logTime();
-		for (LoggedRecord logged : this.unfolded) {
+		for (LoggedRecord logged : this.replayRecords) {
 			if (logged.offset() >= checkpoint.through()) {
 				advance(logged.appendedAt());
-				fold(logged.offset(), logged.record(), logged.appendedAt());
+				applyComplete(logged.offset(), logged.record(), logged.appendedAt());
 			}
 		}
-		this.unfolded.clear();
+		this.replayRecords.clear();
 	}
 
 	private void putAll(List<LedgerRecord.Checkpoint> parts) {
 		for (LedgerRecord.Checkpoint part : parts) {
-			part.states().stream().map(this.values::share).forEach(this::put);
+			part.states().stream().map(this.values::intern).forEach(this::put);
 			part.ended().toList().forEach(this.ended::add);
 		}
 	}
@@ -406,7 +409,7 @@
 		(state.ended() ? this.answered : this.claimed).put(state.key(), state);
 	}
 
-	/** The parts of the checkpoint that is being read, which follow one another. */
+	/** The consecutive parts read so far of a checkpoint. */
 	private static final class CheckpointParts {
 
 		private final List<LedgerRecord.Checkpoint> parts = new ArrayList<>();
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyWork.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/KeyWork.java
@@ -11,8 +11,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What this process does about one key: the requests that wait for it, its own intent on
- * the way, and its own claim.
+ * The local state of a key that this process is processing: the waiting requests, the
+ * pending intent and the claim of this process.
  */
 final class KeyWork {
 
@@ -22,11 +22,11 @@
 
 	private final LinkedHashMap<RequestId, ClaimRequest> waiting = new LinkedHashMap<>();
 
-	private @Nullable Attempt attempt;
+	private @Nullable PendingIntent pendingIntent;
 
 	private @Nullable OwnClaim claim;
 
-	private long receivedOffset = -1;
+	private long handoverOffset = -1;
 
 	private boolean claimedElsewhere;
 
@@ -47,7 +47,7 @@
 		return this.waiting;
 	}
 
-	List<ClaimRequest> waitingNow() {
+	List<ClaimRequest> waitingSnapshot() {
 		return new ArrayList<>(this.waiting.values());
 	}
 
@@ -58,12 +58,12 @@
 			.findFirst();
 	}
 
-	@Nullable Attempt attempt() {
-		return this.attempt;
+	@Nullable PendingIntent pendingIntent() {
+		return this.pendingIntent;
 	}
 
-	void attempt(@Nullable Attempt value) {
-		this.attempt = value;
+	void pendingIntent(@Nullable PendingIntent value) {
+		this.pendingIntent = value;
 	}
 
 	@Nullable OwnClaim claim() {
@@ -74,16 +74,16 @@
 		this.claim = value;
 	}
 
-	long receivedOffset() {
-		return this.receivedOffset;
+	long handoverOffset() {
+		return this.handoverOffset;
 	}
 
-	void receivedOffset(long value) {
-		this.receivedOffset = value;
+	void handoverOffset(long value) {
+		this.handoverOffset = value;
 	}
 
-	// Whether another process stood as claimant when the key was last seen in a complete
-	// view.
+	// Whether another process was the claimant when the key was last evaluated in a
+	// complete view.
 	boolean claimedElsewhere() {
 		return this.claimedElsewhere;
 	}
@@ -92,19 +92,19 @@
 		this.claimedElsewhere = value;
 	}
 
-	// Whether the call may run or have run, as far as this process knows: "not run" would
-	// then be a guess.
+	// Whether the call may be running or may have run to the knowledge of this process,
+	// so that "not run" must not be reported.
 	boolean mayHaveRun() {
 		return this.claimedElsewhere
 				|| (this.claim != null && (this.claim.mayHaveRun() || this.claim.stage() == ClaimStage.HANDED_OVER));
 	}
 
 	boolean idle() {
-		return this.waiting.isEmpty() && this.attempt == null && this.claim == null;
+		return this.waiting.isEmpty() && this.pendingIntent == null && this.claim == null;
 	}
 
-	/** An intent of this process that was not read back yet. */
-	static final class Attempt {
+	/** An intent of this process that has not been resolved yet. */
+	static final class PendingIntent {
 
 		private final RecordId intent;
 
@@ -114,7 +114,7 @@
 
 		private long readOffset = -1;
 
-		Attempt(RecordId intent, CallKey key) {
+		PendingIntent(RecordId intent, CallKey key) {
 			this.intent = intent;
 			this.key = key;
 		}
@@ -143,7 +143,7 @@
 			return this.readOffset;
 		}
 
-		void readAt(long offset) {
+		void markRead(long offset) {
 			this.readOffset = offset;
 		}
 
@@ -176,7 +176,7 @@
 			return this.digest;
 		}
 
-		// Until when a claim without a request is kept.
+		// The time until which a claim without a request is kept.
 		Instant heldUntil() {
 			return this.heldUntil;
 		}
@@ -204,16 +204,22 @@
 
 	}
 
-	/** How far a claim of this process went; it never goes back. */
+	/** The stage of a claim of this process. */
 	enum ClaimStage {
 
-		/** Nothing was dispatched yet. */
+		/**
+		 * The call has not been dispatched yet, or the dispatch is known not to have been
+		 * sent.
+		 */
 		HELD,
 
-		/** Nothing was dispatched, nor ever will be: it was released. */
+		/** The claim was released; this process never dispatches the call under it. */
 		RELEASED,
 
-		/** Nothing was dispatched here, nor ever will be: another process has it. */
+		/**
+		 * The claim was handed over to another process; this process never dispatches the
+		 * call under it.
+		 */
 		HANDED_OVER,
 
 		/** The call was dispatched. */
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/LedgerRecord.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/LedgerRecord.java
@@ -10,38 +10,40 @@
 /**
  * A record of a slot's stream.
  * <p>
- * A kind that this version does not know reads as {@link Unrecognized} and changes
- * nothing. So a later version may add kinds that end claims, but none that grants one: a
- * process which does not know it would take the key for free and run the call again.
+ * A kind that is unknown to this version is read as {@link Unrecognized} and has no
+ * effect. A later version must not add a kind that grants a claim: a process that does
+ * not recognize it would consider the key unclaimed and run the call again. Kinds that
+ * end claims may be added.
  */
 public sealed interface LedgerRecord {
 
 	/**
-	 * Returns the identifier by which the author finds the record again.
+	 * Returns the identifier by which the author recognizes the record.
 	 * @return the identifier
 	 */
 	RecordId id();
 
 	/**
-	 * A record that counts only if its author holds the claim it names.
+	 * A record that takes effect only if its author holds the referenced claim.
 	 */
 	sealed interface ClaimantRecord extends LedgerRecord {
 
 		/**
-		 * Returns the process that wrote the record.
+		 * Returns the process that appended the record.
 		 * @return the author
 		 */
 		Incarnation author();
 
 		/**
-		 * Returns the key that the claim is for.
+		 * Returns the key of the claim.
 		 * @return the key
 		 */
 		CallKey key();
 
 		/**
-		 * Returns the offset of the record that gave the author the claim. A repeated
-		 * append of this record then cannot touch a later claim of the same author.
+		 * Returns the offset of the record that granted the claim to the author. It
+		 * prevents a duplicate append of this record from affecting a later claim of the
+		 * same author.
 		 * @return the offset of an {@link Intent} or {@link HandedOver}
 		 */
 		long claimOffset();
@@ -49,14 +51,14 @@
 	}
 
 	/**
-	 * A process wants to run the call; the first one for a key that stands wins.
+	 * A process intends to run the call; the first intent for an unclaimed key wins.
 	 *
 	 * @param id the record's identifier
-	 * @param author the process that would run the call
+	 * @param author the process that intends to run the call
 	 * @param key the call's key
 	 * @param digest the digest of the call's body
-	 * @param window how long the key stays known, counted by the log's record times; it
-	 * stands in the record so that processes with other settings fold it alike
+	 * @param window how long the key is retained, measured by the log's record times;
+	 * part of the record so that processes with different settings derive the same state
 	 */
 	record Intent(RecordId id, Incarnation author, CallKey key, BodyDigest digest,
 			Duration window) implements LedgerRecord {
@@ -64,14 +66,14 @@
 	}
 
 	/**
-	 * The call ended.
+	 * The call has ended.
 	 *
 	 * @param id the record's identifier
 	 * @param author the claimant
 	 * @param key the call's key
 	 * @param claimOffset the offset of the claim
-	 * @param answer the endpoint's answer, or {@code null} if the claimant itself does
-	 * not know whether the call ran
+	 * @param answer the endpoint's answer, or {@code null} if the claimant does not know
+	 * whether the call ran
 	 */
 	record Outcome(RecordId id, Incarnation author, CallKey key, long claimOffset,
 			@Nullable StoredAnswer answer) implements ClaimantRecord {
@@ -79,7 +81,7 @@
 	}
 
 	/**
-	 * The claimant never dispatched the call and never will; a later intent may win.
+	 * The claimant has not dispatched the call and never will; a later intent may win.
 	 *
 	 * @param id the record's identifier
 	 * @param author the claimant
@@ -91,13 +93,14 @@
 	}
 
 	/**
-	 * The claimant never dispatched the call and gives the claim to another process.
+	 * The claimant has not dispatched the call and transfers the claim to another
+	 * process.
 	 *
 	 * @param id the record's identifier
 	 * @param author the claimant
 	 * @param key the call's key
 	 * @param claimOffset the offset of the claim
-	 * @param receiver the process that is the claimant from this record on
+	 * @param receiver the new claimant
 	 */
 	record HandedOver(RecordId id, Incarnation author, CallKey key, long claimOffset,
 			Incarnation receiver) implements ClaimantRecord {
@@ -105,18 +108,19 @@
 	}
 
 	/**
-	 * One part of the fold's state before an offset, for readers that come after
-	 * retention has trimmed what the state was folded from. All parts are one append.
+	 * A part of the state before an offset, for readers that start after retention has
+	 * trimmed the records from which the state was derived. All parts are in a single
+	 * append.
 	 *
 	 * @param id the record's identifier
-	 * @param checkpoint the identifier that all parts share
-	 * @param through the state covers all records before this offset
-	 * @param logTime the fold's log time before that offset
+	 * @param checkpoint the identifier shared by all parts
+	 * @param through the offset before which all records are included
+	 * @param logTime the log time of the state
 	 * @param part the index of this part, from 0
 	 * @param parts the number of parts
-	 * @param states the keys of this part that are kept whole: those that run in the
-	 * order of their intents, then the ended ones in the order of their outcomes
-	 * @param ended the keys of this part of which a digest is kept
+	 * @param states the full states in this part: running calls in the order of their
+	 * intents, then ended calls in the order of their outcomes
+	 * @param ended the keys in this part of which only a digest is kept
 	 */
 	record Checkpoint(RecordId id, RecordId checkpoint, long through, Instant logTime, int part, int parts,
 			List<KeyState> states, EndedKeys ended) implements LedgerRecord {
@@ -131,7 +135,7 @@
 	}
 
 	/**
-	 * A record of a kind that this version does not know, or that cannot be read.
+	 * A record of an unknown kind, or one that cannot be decoded.
 	 *
 	 * @param id the record's identifier
 	 */
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/LoggedRecord.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/LoggedRecord.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 
 /**
- * A record as it was read from its stream.
+ * A record read from a stream.
  *
  * @param offset the record's offset
  * @param record the record
- * @param appendedAt the log's time of the append
+ * @param appendedAt the log time of the append
  */
 public record LoggedRecord(long offset, LedgerRecord record, Instant appendedAt) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/RecordId.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/RecordId.java
@@ -3,10 +3,10 @@
 import org.banyancove.core.Incarnation;
 
 /**
- * The identifier of one record on the log, by which an author finds it again when the
- * answer to its append was lost.
+ * The identifier of a record on the log, by which its author recognizes it if the answer
+ * to its append was lost.
  *
- * @param value the identifier's text, never blank, unique over all processes
+ * @param value the identifier, never blank and unique across all processes
  */
 public record RecordId(String value) {
 
@@ -23,7 +23,7 @@
 	/**
 	 * Returns the identifier of an author's record.
 	 * @param author the process that appends the record
-	 * @param sequence a number that the author uses once
+	 * @param sequence a number that is unique for the author
 	 * @return the identifier
 	 */
 	public static RecordId of(Incarnation author, long sequence) {
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/RecordSequence.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/RecordSequence.java
@@ -3,7 +3,7 @@
 import org.banyancove.core.Incarnation;
 
 /**
- * The identifiers of this process's records, each given once.
+ * Generates unique identifiers for the records of this process.
  */
 final class RecordSequence {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/Departure.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/ShutdownState.java
@@ -4,15 +4,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Whether this process takes no more calls, and who takes those that it did not dispatch.
+ * Whether this process has stopped accepting calls, and the process that receives its
+ * undispatched calls.
  */
-final class Departure {
+final class ShutdownState {
 
 	private @Nullable Incarnation receiver;
 
 	private boolean stopping;
 
-	boolean begun() {
+	boolean inProgress() {
 		return this.stopping || this.receiver != null;
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/SlotReadingSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/SlotReadingSystem.java
@@ -8,8 +8,8 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Folds what is read of the slots, and settles each key of this process's concern that it
- * touches.
+ * Applies records read from the slots, and evaluates each affected key that this process
+ * is processing or claims.
  */
 final class SlotReadingSystem {
 
@@ -19,7 +19,7 @@
 
 	private final SlotTable slots;
 
-	private final KeyWorkTable works;
+	private final PendingKeyTable pendingKeys;
 
 	private final AppendQueue appends;
 
@@ -27,18 +27,18 @@
 
 	private final IntentSystem intents;
 
-	private final SettlementSystem settlement;
+	private final KeyResolutionSystem resolution;
 
-	SlotReadingSystem(Incarnation self, ClaimSettings settings, SlotTable slots, KeyWorkTable works,
-			AppendQueue appends, ClaimAnswerSystem answers, IntentSystem intents, SettlementSystem settlement) {
+	SlotReadingSystem(Incarnation self, ClaimSettings settings, SlotTable slots, PendingKeyTable pendingKeys,
+			AppendQueue appends, ClaimAnswerSystem answers, IntentSystem intents, KeyResolutionSystem resolution) {
 		this.self = self;
 		this.settings = settings;
 		this.slots = slots;
-		this.works = works;
+		this.pendingKeys = pendingKeys;
 		this.appends = appends;
 		this.answers = answers;
 		this.intents = intents;
-		this.settlement = settlement;
+		this.resolution = resolution;
 	}
 
 	void recordsRead(KeySlot slot, long firstRetained, long endOffset, List<LoggedRecord> records) {
@@ -47,7 +47,7 @@
 			return;
 		}
 		boolean wasComplete = table.complete();
-		Set<CallKey> touched = new LinkedHashSet<>();
+		Set<CallKey> affectedKeys = new LinkedHashSet<>();
 		table.trimmed(firstRetained);
 		if (firstRetained == endOffset && this.settings.retentionCoversKeys()) {
 			table.emptied(endOffset);
@@ -57,18 +57,18 @@
 			if (logged.offset() < table.nextOffset()) {
 				continue;
 			}
-			boolean before = table.complete();
+			boolean completeBefore = table.complete();
 			table.apply(logged.offset(), logged.record(), logged.appendedAt());
-			lost |= before && !table.complete();
-			note(slot, logged, touched);
+			lost |= completeBefore && !table.complete();
+			recordRead(slot, logged, affectedKeys);
 		}
 		if (lost) {
-			dropAttempts(slot);
+			dropPendingIntents(slot);
 		}
 		if (table.complete() && (lost || !wasComplete)) {
-			touchAll(slot, touched);
+			addAllKeys(slot, affectedKeys);
 		}
-		touched.forEach(this.settlement::evaluate);
+		affectedKeys.forEach(this.resolution::evaluate);
 	}
 
 	void restore(KeySlot slot, List<LedgerRecord.Checkpoint> parts) {
@@ -78,18 +78,18 @@
 		}
 		table.restore(parts);
 		if (table.complete()) {
-			Set<CallKey> touched = new LinkedHashSet<>();
-			touchAll(slot, touched);
-			touched.forEach(this.settlement::evaluate);
+			Set<CallKey> affectedKeys = new LinkedHashSet<>();
+			addAllKeys(slot, affectedKeys);
+			affectedKeys.forEach(this.resolution::evaluate);
 		}
 	}
 
-	private void note(KeySlot slot, LoggedRecord logged, Set<CallKey> touched) {
+	private void recordRead(KeySlot slot, LoggedRecord logged, Set<CallKey> affectedKeys) {
 		switch (logged.record()) {
 			case LedgerRecord.Intent intent -> {
 				this.intents.read(slot, logged.offset(), intent);
-				if (intent.author().equals(this.self) || this.works.contains(intent.key())) {
-					touched.add(intent.key());
+				if (intent.author().equals(this.self) || this.pendingKeys.contains(intent.key())) {
+					affectedKeys.add(intent.key());
 				}
 			}
 			case LedgerRecord.ClaimantRecord record -> {
@@ -97,10 +97,10 @@
 				boolean received = record instanceof LedgerRecord.HandedOver handedOver
 						&& handedOver.receiver().equals(this.self);
 				if (received) {
-					this.works.work(record.key()).receivedOffset(logged.offset());
+					this.pendingKeys.getOrCreate(record.key()).handoverOffset(logged.offset());
 				}
-				if (received || this.works.contains(record.key())) {
-					touched.add(record.key());
+				if (received || this.pendingKeys.contains(record.key())) {
+					affectedKeys.add(record.key());
 				}
 			}
 			case LedgerRecord.Checkpoint _, LedgerRecord.Unrecognized _ -> {
@@ -108,26 +108,27 @@
 		}
 	}
 
-	private void touchAll(KeySlot slot, Set<CallKey> touched) {
-		this.works.all(slot).stream().map(KeyWork::key).forEach(touched::add);
+	private void addAllKeys(KeySlot slot, Set<CallKey> affectedKeys) {
+		this.pendingKeys.all(slot).stream().map(KeyWork::key).forEach(affectedKeys::add);
 		this.slots.table(slot)
 			.states()
 			.stream()
 			.filter((state) -> state.claimant().equals(this.self) && !state.ended())
 			.map(KeyState::key)
-			.forEach(touched::add);
+			.forEach(affectedKeys::add);
 	}
 
-	// After a gap an intent of ours may stand or not, and a later checkpoint might show
-	// it as ours although others saw it lose: none of them is ever dispatched.
-	private void dropAttempts(KeySlot slot) {
-		for (KeyWork work : this.works.all(slot)) {
-			work.receivedOffset(-1);
-			if (work.attempt() != null) {
-				this.intents.drop(work);
-				this.answers.refuseWaiting(work, ErrorKind.LOG_UNREACHABLE);
+	// After a gap it is unknown whether an intent of this process won, and a later
+	// checkpoint may show it as winning although other processes saw it lose. Such
+	// intents are therefore never dispatched.
+	private void dropPendingIntents(KeySlot slot) {
+		for (KeyWork pendingKey : this.pendingKeys.all(slot)) {
+			pendingKey.handoverOffset(-1);
+			if (pendingKey.pendingIntent() != null) {
+				this.intents.drop(pendingKey);
+				this.answers.refuseWaiting(pendingKey, ErrorKind.LOG_UNREACHABLE);
 			}
-			this.works.discardIfIdle(work);
+			this.pendingKeys.discardIfIdle(pendingKey);
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/SlotTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/SlotTable.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The slots as this process knows them.
+ * This process's views of all slots.
  */
 final class SlotTable {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/SlotView.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/SlotView.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 /**
- * What this process knows of one slot.
+ * This process's view of a slot.
  */
 final class SlotView {
 
@@ -33,7 +33,7 @@
 		return this.checkpoints.due(this.table, now);
 	}
 
-	// Whether an intent was late of late, so that no other is tried yet.
+	// Whether an intent timed out recently, so that no other intent is appended yet.
 	boolean unreachable(Instant now) {
 		return now.isBefore(this.unreachableUntil);
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/StoredAnswer.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/StoredAnswer.java
@@ -3,20 +3,20 @@
 import org.banyancove.core.Body;
 
 /**
- * The endpoint's answer to a call, as the ledger keeps it for repeats.
+ * The endpoint's answer to a call, as stored in the ledger for repeats.
  *
  * @param status the HTTP status
  * @param contentType the media type of the body
- * @param body the body; empty where it was too large, or has become too old, to be kept
- * @param complete whether {@code body} is the whole body; if not, a repeat learns that
- * the call ran and its status, and no more
+ * @param body the body; empty if it was too large or has expired
+ * @param complete whether {@code body} is the complete body; if not, a repeat only learns
+ * that the call ran and its status
  */
 public record StoredAnswer(int status, String contentType, Body body, boolean complete) {
 
 	private static final String NO_CONTENT_TYPE = "";
 
 	/**
-	 * Returns what is left of an answer whose body is no longer kept.
+	 * Returns an answer whose body is no longer kept.
 	 * @param status the HTTP status
 	 * @return the answer without its body
 	 */
@@ -25,9 +25,9 @@
 	}
 
 	/**
-	 * Returns the form that goes to the log: the answer itself, or without its body if
-	 * that is larger than the limit.
-	 * @param limit the largest body kept, in bytes
+	 * Returns the form that is stored on the log: this answer, or this answer without its
+	 * body if the body exceeds the limit.
+	 * @param limit the maximum size of a stored body in bytes
 	 * @return the answer to store
 	 */
 	public StoredAnswer limitedTo(int limit) {
--- a/banyancove-core/src/main/java/org/banyancove/core/ledger/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ledger/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The key ledger, by which a call that may not be repeated runs at most once: a fold of
- * the log's slot streams and the system that claims keys on them.
+ * The key ledger, which ensures that a non-repeatable call runs at most once: the state
+ * derived from the log's slot streams, and the system that claims keys on them.
  */
 @NullMarked
 package org.banyancove.core.ledger;
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/ClaimBench.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/ClaimSystemHarness.java
@@ -20,9 +20,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Claim systems over one slot, moved by hand one event at a time.
+ * Claim systems over one slot, driven by tests one event at a time.
  */
-final class ClaimBench {
+final class ClaimSystemHarness {
 
 	static final ClaimSettings SETTINGS = new ClaimSettings(1, Duration.ofMillis(20), Duration.ofSeconds(1),
 			Duration.ofHours(1), Duration.ofMinutes(45), Duration.ofHours(2), Duration.ofSeconds(30),
@@ -34,7 +34,7 @@
 
 	private static final KeySlot SLOT = new KeySlot(0);
 
-	private static final Duration PATIENCE = Duration.ofSeconds(10);
+	private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
 	final FakeLog log = new FakeLog();
 
@@ -72,13 +72,15 @@
 
 		Entry(Incarnation self) {
 			this.self = self;
-			this.system = new ClaimSystem(self, () -> ClaimBench.this.now, new SplittableRandom(1), SETTINGS, this);
+			this.system = new ClaimSystem(self, () -> ClaimSystemHarness.this.now, new SplittableRandom(1), SETTINGS,
+					this);
 			read();
 		}
 
 		RequestId submit(String request, String body) {
 			RequestId id = new RequestId(request);
-			this.system.submit(new ClaimRequest(id, KEY, new BodyDigest(body), ClaimBench.this.now.plus(PATIENCE)));
+			this.system.submit(
+					new ClaimRequest(id, KEY, new BodyDigest(body), ClaimSystemHarness.this.now.plus(REQUEST_TIMEOUT)));
 			return id;
 		}
 
@@ -94,27 +96,28 @@
 			return this;
 		}
 
-		// The log takes what was sent; the answer arrives.
-		Entry taken() {
-			List<Sent> taken = takeSent();
-			taken.forEach((append) -> this.system.appendAnswered(append.id(),
-					ClaimBench.this.log.append(append.records(), ClaimBench.this.now)));
+		// Applies the sent appends to the log and delivers the results.
+		Entry apply() {
+			List<Sent> drained = drainSent();
+			drained.forEach((append) -> this.system.appendAnswered(append.id(),
+					ClaimSystemHarness.this.log.append(append.records(), ClaimSystemHarness.this.now)));
 			return this;
 		}
 
-		// The log takes what was sent; the answer is lost.
-		Entry takenUnanswered() {
-			takeSent().forEach((append) -> ClaimBench.this.log.append(append.records(), ClaimBench.this.now));
+		// Applies the sent appends to the log and drops the results.
+		Entry applyUnanswered() {
+			drainSent()
+				.forEach((append) -> ClaimSystemHarness.this.log.append(append.records(), ClaimSystemHarness.this.now));
 			return this;
 		}
 
-		// What was sent is on its way still, and its answer is lost.
-		List<LedgerRecord> delayed() {
-			return takeSent().stream().flatMap((append) -> append.records().stream()).toList();
+		// Delays the sent appends and drops their results.
+		List<LedgerRecord> delay() {
+			return drainSent().stream().flatMap((append) -> append.records().stream()).toList();
 		}
 
 		Entry read() {
-			FakeLog.Read read = ClaimBench.this.log.read(this.system.table(SLOT).nextOffset(), 1000);
+			FakeLog.Read read = ClaimSystemHarness.this.log.read(this.system.table(SLOT).nextOffset(), 1000);
 			this.system.recordsRead(SLOT, read.firstRetained(), read.endOffset(), read.records());
 			return this;
 		}
@@ -153,10 +156,10 @@
 			assertThat(this.answers.put(request, answer)).as("earlier answer to %s", request).isNull();
 		}
 
-		private List<Sent> takeSent() {
-			List<Sent> taken = List.copyOf(this.sent);
+		private List<Sent> drainSent() {
+			List<Sent> drained = List.copyOf(this.sent);
 			this.sent.clear();
-			return taken;
+			return drained;
 		}
 
 	}
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/EndedKeyTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/EndedKeyTableTests.java
@@ -18,15 +18,15 @@
 
 	private static final int LIVE_KEYS = 3000;
 
-	private static final long BETWEEN_HOMES = 37;
+	private static final long HOME_CELL_DISTANCE = 37;
 
-	private static final int HOMES = 150;
+	private static final int HOME_CELLS = 150;
 
-	// A key that the packed table lost would run a second time. Thousands of keys come,
-	// go and come again, most of them meeting in the same few cells of the index, and
-	// after each step the table must know exactly what a plain map knows.
+	// Guards against losing a key, which would let its call run a second time. Thousands
+	// of keys are added, expire and are added again, most of them colliding in a few
+	// cells of the index. The table must always match a plain map.
 	@Property(tries = 8, seed = "20261206")
-	void knowsWhatAMapKnows(@ForAll long seed) {
+	void matchesPlainMap(@ForAll long seed) {
 		SplittableRandom random = new SplittableRandom(seed);
 		EndedKeyTable table = new EndedKeyTable();
 		Map<KeyDigest, EndedKey> model = new LinkedHashMap<>();
@@ -57,7 +57,8 @@
 	}
 
 	private EndedKey key(SplittableRandom random, int step) {
-		KeyDigest digest = new KeyDigest(random.nextInt(2 * LIVE_KEYS), random.nextInt(HOMES) * BETWEEN_HOMES);
+		KeyDigest digest = new KeyDigest(random.nextInt(2 * LIVE_KEYS),
+				random.nextInt(HOME_CELLS) * HOME_CELL_DISTANCE);
 		Instant expiresAt = Instant.ofEpochSecond(step + LIVE_KEYS - random.nextInt(50), random.nextInt(1_000_000_000));
 		return new EndedKey(digest, random.nextLong(), expiresAt, random.nextInt(600));
 	}
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/FakeLog.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/FakeLog.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * One slot's stream: all records ever appended, and from where on they can be read.
+ * A slot's stream with all records ever appended and the first offset that can still be
+ * read.
  */
 final class FakeLog {
 
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/KeyTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/KeyTableTests.java
@@ -33,11 +33,12 @@
 
 	private long records;
 
-	// A handover's append is sent twice, and the copy arrives after the claim came back.
-	// The first process may have dispatched by then; were the copy to count, the second
-	// would run the call again.
+	// Guards against running a call twice: the append of a handover is duplicated, and
+	// the copy arrives after the claim was handed back. The first process may have
+	// dispatched the call by then; if the copy took effect, the second process would run
+	// it again.
 	@Test
-	void aLateCopyOfAHandoverDoesNotMoveTheClaimAgain() {
+	void duplicateHandoverDoesNotMoveLaterClaim() {
 		apply(intent(FIRST));
 		apply(new LedgerRecord.HandedOver(id(), FIRST, KEY, 0, SECOND));
 		apply(new LedgerRecord.HandedOver(id(), SECOND, KEY, 1, FIRST));
@@ -45,9 +46,9 @@
 		assertThat(claimant()).isEqualTo(FIRST);
 	}
 
-	// As above, for the copy of a release after the same process claimed the key anew.
+	// As above, for a duplicate release after the same process has claimed the key again.
 	@Test
-	void aLateCopyOfAReleaseDoesNotEndALaterClaim() {
+	void duplicateReleaseDoesNotEndLaterClaim() {
 		apply(intent(FIRST));
 		apply(new LedgerRecord.Released(id(), FIRST, KEY, 0));
 		apply(intent(FIRST));
@@ -56,7 +57,7 @@
 	}
 
 	@Test
-	void onlyTheClaimantsRecordsCount() {
+	void recordsOfOtherProcessesHaveNoEffect() {
 		apply(intent(FIRST));
 		apply(intent(SECOND));
 		apply(new LedgerRecord.Released(id(), SECOND, KEY, 0));
@@ -66,7 +67,7 @@
 	}
 
 	@Test
-	void aKeyLeavesByTheTimeOfTheRecords() {
+	void keyExpiresByRecordTime() {
 		apply(intent(FIRST));
 		this.table.apply(1, intent(SECOND), START.plus(WINDOW).minusNanos(1));
 		assertThat(claimant()).isEqualTo(FIRST);
@@ -74,56 +75,57 @@
 		assertThat(claimant()).isEqualTo(SECOND);
 	}
 
-	// Between a checkpoint and its append a key expires, and an intent lost before that.
-	// A reader that starts at the checkpoint must fold it as lost too: with the time of
-	// the newest record it would take it for the claimant.
+	// Guards against readers that disagree on the winner: a key expires between the
+	// creation of a checkpoint and its append, and an intent loses before the key
+	// expires. A reader that starts from the checkpoint must also consider the intent
+	// lost; with the time of the newest record it would consider it the winner.
 	@Test
-	void aCheckpointIsReplayedAtItsOwnTime() {
+	void checkpointIsReplayedAtItsLogTime() {
 		apply(intent(FIRST));
 		List<LedgerRecord.Checkpoint> checkpoint = this.table.checkpoint(id());
 		Instant before = START.plus(WINDOW).minusSeconds(1);
-		LedgerRecord lost = intent(SECOND);
+		LedgerRecord losingIntent = intent(SECOND);
 		KeyTable reader = new KeyTable();
 		reader.trimmed(1);
-		reader.apply(1, lost, before);
+		reader.apply(1, losingIntent, before);
 		reader.apply(2, checkpoint.getFirst(), START.plus(WINDOW));
-		this.table.apply(1, lost, before);
+		this.table.apply(1, losingIntent, before);
 		this.table.apply(2, checkpoint.getFirst(), START.plus(WINDOW));
 		assertThat(this.table.find(KEY)).isEmpty();
 		assertThat(reader.find(KEY)).isEmpty();
 	}
 
-	// A key's answer is dropped, and later its intent comes again from a process that
-	// never saw the first. The digest alone must make it lose, to the last instant of
-	// the window.
+	// Guards against running a call again after its answer has expired: a process that
+	// did not read the first intent appends another one. The digest alone must make it
+	// lose, up to the end of the window.
 	@Test
-	void aDigestBlocksTheKeyUntilItsWindowIsOver() {
+	void digestKeepsKeyClaimedUntilEndOfWindow() {
 		Instant claimed = START.plusNanos(999_999_999);
 		this.table.apply(0, intent(FIRST), claimed);
 		this.table.apply(1, new LedgerRecord.Outcome(id(), FIRST, KEY, 0, ANSWER), claimed);
 		this.table.apply(2, intent(SECOND), claimed.plus(WINDOW).minusNanos(1));
-		assertThat(this.table.find(KEY)).hasValueSatisfying((standing) -> {
-			assertThat(standing).isInstanceOf(EndedKey.class);
-			assertThat(standing.matches(new BodyDigest("d"))).isTrue();
-			assertThat(standing.matches(new BodyDigest("other"))).isFalse();
+		assertThat(this.table.find(KEY)).hasValueSatisfying((status) -> {
+			assertThat(status).isInstanceOf(EndedKey.class);
+			assertThat(status.matches(new BodyDigest("d"))).isTrue();
+			assertThat(status.matches(new BodyDigest("other"))).isFalse();
 		});
 		this.table.apply(3, intent(SECOND), claimed.plus(WINDOW));
 		assertThat(claimant()).isEqualTo(SECOND);
 	}
 
-	// A claimant's outcome comes after a long time. Its claim must not have been reduced
-	// to a digest meanwhile, or the outcome would be lost for all repeats.
+	// Guards against losing a late outcome: a claim must not be reduced to a digest
+	// before its call ends, or the outcome would be lost for all repeats.
 	@Test
-	void aCallThatRunsIsKeptWhole() {
+	void runningCallKeepsFullState() {
 		apply(intent(FIRST));
 		this.table.apply(1, new LedgerRecord.Unrecognized(id()), START.plus(ANSWER_WINDOW.multipliedBy(2)));
 		assertThat(claimant()).isEqualTo(FIRST);
 	}
 
-	// A reader starts from a checkpoint that holds more digests than one part takes. Not
-	// one of these keys may be free for it.
+	// Guards against losing keys: a reader starts from a checkpoint with more digests
+	// than fit into one part. All of these keys must be claimed for the reader.
 	@Test
-	void aCheckpointCarriesAllDigests() {
+	void checkpointContainsAllDigests() {
 		int keys = 9000;
 		for (int number = 0; number < keys; number++) {
 			CallKey key = new CallKey(KEY.account(), KEY.service(), "k" + number);
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerOracle.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerOracle.java
@@ -16,7 +16,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What callers and endpoints see, checked from outside the program.
+ * Test oracle that checks the observations of callers and endpoints.
  */
 final class LedgerOracle {
 
@@ -24,7 +24,7 @@
 
 	private final Map<CallKey, List<Run>> runs = new HashMap<>();
 
-	private final Map<Asked, Integer> answers = new HashMap<>();
+	private final Map<AnsweredRequest, Integer> answers = new HashMap<>();
 
 	private final Map<CallKey, List<NotRun>> notRun = new HashMap<>();
 
@@ -41,14 +41,14 @@
 			assertThat(between).as("%s ran twice: %s and %s", run.key(), other, run)
 				.isGreaterThanOrEqualTo(this.keyWindow);
 		}
-		this.notRun.getOrDefault(run.key(), List.of()).forEach((told) -> checkNotRun(run, told));
+		this.notRun.getOrDefault(run.key(), List.of()).forEach((reported) -> checkNotRun(run, reported));
 		earlier.add(run);
 		count("run");
 		return run.answer();
 	}
 
 	void answered(Incarnation process, ClaimRequest request, Instant submittedAt, Instant now, ClaimAnswer answer) {
-		int times = this.answers.merge(new Asked(process, request.request()), 1, Integer::sum);
+		int times = this.answers.merge(new AnsweredRequest(process, request.request()), 1, Integer::sum);
 		assertThat(times).as("answers to %s at %s", request, process).isEqualTo(1);
 		switch (answer) {
 			case ClaimAnswer.FirstRun first -> checkAnswer(request, first.answer(), true);
@@ -75,18 +75,18 @@
 
 	private void checkAnswer(ClaimRequest request, StoredAnswer answer, boolean first) {
 		count(first ? "answered first run" : answer.complete() ? "answered repeat" : "answered without body");
-		List<Run> known = this.runs.getOrDefault(request.key(), List.of());
-		assertThat(known).as("%s got an answer that nobody gave: %s", request, answer).anySatisfy((run) -> {
-			assertThat(asKept(run.answer(), answer)).isEqualTo(answer);
+		List<Run> keyRuns = this.runs.getOrDefault(request.key(), List.of());
+		assertThat(keyRuns).as("%s got an answer that nobody gave: %s", request, answer).anySatisfy((run) -> {
+			assertThat(asStored(run.answer(), answer)).isEqualTo(answer);
 			assertThat(run.digest()).isEqualTo(request.digest());
 			assertThat(!first || run.request().equals(request.request())).isTrue();
 		});
 	}
 
-	// An answer that has become old is told by the status of the run alone.
-	private static StoredAnswer asKept(StoredAnswer ran, StoredAnswer told) {
-		boolean old = !told.complete() && told.contentType().isEmpty();
-		return old ? StoredAnswer.withoutBody(ran.status()) : ran.limitedTo(told.body().length());
+	// An expired answer consists of the status of the run only.
+	private static StoredAnswer asStored(StoredAnswer ran, StoredAnswer reported) {
+		boolean expired = !reported.complete() && reported.contentType().isEmpty();
+		return expired ? StoredAnswer.withoutBody(ran.status()) : ran.limitedTo(reported.body().length());
 	}
 
 	private void checkRefused(Incarnation process, ClaimRequest request, Instant submittedAt, Instant now,
@@ -98,18 +98,18 @@
 			return;
 		}
 		count("not run");
-		NotRun told = new NotRun(process, request.request(), submittedAt, now);
-		this.notRun.computeIfAbsent(request.key(), (_) -> new ArrayList<>()).add(told);
-		this.runs.getOrDefault(request.key(), List.of()).forEach((run) -> checkNotRun(run, told));
+		NotRun reported = new NotRun(process, request.request(), submittedAt, now);
+		this.notRun.computeIfAbsent(request.key(), (_) -> new ArrayList<>()).add(reported);
+		this.runs.getOrDefault(request.key(), List.of()).forEach((run) -> checkNotRun(run, reported));
 	}
 
-	// An intent that was sent before a caller was told "not run", and was or will be
-	// dispatched after that caller came, makes it untrue. So does a run for the request.
-	private void checkNotRun(Run run, NotRun told) {
-		boolean sameRequest = run.request().equals(told.request()) && run.process().equals(told.process());
-		boolean sameIntent = run.process().equals(told.process()) && !run.claimedAt().isAfter(told.answeredAt())
-				&& !run.dispatchedAt().isBefore(told.submittedAt());
-		assertThat(sameRequest || sameIntent).as("told not run: %s, but %s", told, run).isFalse();
+	// A "not run" is false if an intent sent before it is dispatched after the caller's
+	// submission, or if the call ran for the request.
+	private void checkNotRun(Run run, NotRun reported) {
+		boolean sameRequest = run.request().equals(reported.request()) && run.process().equals(reported.process());
+		boolean sameIntent = run.process().equals(reported.process()) && !run.claimedAt().isAfter(reported.answeredAt())
+				&& !run.dispatchedAt().isBefore(reported.submittedAt());
+		assertThat(sameRequest || sameIntent).as("told not run: %s, but %s", reported, run).isFalse();
 	}
 
 	record Run(CallKey key, BodyDigest digest, RequestId request, Incarnation process, Instant intentAt,
@@ -121,7 +121,7 @@
 
 	}
 
-	private record Asked(Incarnation process, RequestId request) {
+	private record AnsweredRequest(Incarnation process, RequestId request) {
 
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerRandomisedTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerRandomisedTests.java
@@ -11,56 +11,57 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Long randomised runs of the key ledger. Any seed and length by
+ * Randomised simulations of the key ledger. The seed and length of a run can be set by
  * {@code -Dledger.seed=… -Dledger.steps=… -Dledger.runs=…}.
  */
 class LedgerRandomisedTests {
 
 	private static final int STEPS = 6000;
 
-	// What the caller sees: its booking runs at most once, "not run" is true, and a
-	// repeat gets the first run's answer. Processes die, pause, stop, hand over and are
-	// replaced, the log loses answers, applies appends late, fails and trims, and
-	// endpoints run calls and lose the answers, all at once and in any order. Keys
-	// outlive retention here, so that only checkpoints carry them.
+	// Guards against violations visible to the caller: a call runs at most once, "not
+	// run" is true, and a repeat receives the answer of the first run. Processes fail,
+	// pause, stop, hand over and are replaced; the log loses answers, applies appends
+	// late, fails and trims; endpoints run calls and lose the answers. Faults are
+	// combined in any order. Keys outlive retention, so only checkpoints preserve them.
 	@Property(tries = 12, seed = "20261202")
-	void aCallRunsAtMostOnceWhereKeysOutliveRetention(@ForAll long seed) {
+	void callRunsAtMostOnceIfKeysOutliveRetention(@ForAll long seed) {
 		run(seed, STEPS, settings(Duration.ofHours(1), Duration.ofSeconds(30)));
 	}
 
-	// As above, but keys expire within the run, and a stream that was trimmed to nothing
-	// has to become usable again. A key may run again after its window, never within it.
+	// As above, but keys expire within the run, and a stream without retained records
+	// must become usable again. A call may run again after its key window, but never
+	// within it.
 	@Property(tries = 12, seed = "20261203")
-	void aCallRunsAtMostOnceWhereRetentionOutlivesKeys(@ForAll long seed) {
+	void callRunsAtMostOnceIfRetentionOutlivesKeys(@ForAll long seed) {
 		run(seed, STEPS, settings(Duration.ofSeconds(25), Duration.ofSeconds(30)));
 	}
 
-	// As the first run, but answers become old within seconds, so that most repeats
-	// find a digest only: they hear the first run's status, "unknown" or "other body",
-	// and no digest lets a call run again, whoever restores it from whatever
-	// checkpoint.
+	// As the first test, but answers expire within seconds, so that most repeats find a
+	// digest only: they receive the status of the first run, "unknown" or "other body".
+	// No digest lets a call run again, regardless of the process and the checkpoint that
+	// restored it.
 	@Property(tries = 12, seed = "20261204")
-	void aCallRunsAtMostOnceWhereOnlyItsDigestIsKept(@ForAll long seed) {
+	void callRunsAtMostOnceIfOnlyDigestIsKept(@ForAll long seed) {
 		runWithDigests(seed, STEPS, Duration.ofHours(1));
 	}
 
-	// As above, and the digests expire too, so that a key is claimed anew behind its own.
+	// As above, but digests expire as well, so that a key is claimed again after its own
+	// digest.
 	@Property(tries = 12, seed = "20261205")
-	void aCallRunsAtMostOnceWhereItsDigestExpires(@ForAll long seed) {
+	void callRunsAtMostOnceIfDigestExpires(@ForAll long seed) {
 		runWithDigests(seed, STEPS, Duration.ofSeconds(25));
 	}
 
-	// As above, but each process keeps answers for a time of its own: none at all, for
-	// half a second, for all the window. They must agree on which calls ended and which
-	// may run.
+	// As above, but processes use different answer windows: none, half a second, or the
+	// full key window. They must agree on which calls have ended and which may run.
 	@Property(tries = 12, seed = "20261207")
-	void processesMayDifferInHowLongTheyKeepAnswers(@ForAll long seed) {
+	void processesMayUseDifferentAnswerWindows(@ForAll long seed) {
 		runWithMixedWindows(seed, STEPS);
 	}
 
-	// The runs that a developer asks for by system properties.
+	// Runs selected by system properties.
 	@Test
-	void aCallRunsAtMostOnceUnderTheSeedsAskedFor() {
+	void callRunsAtMostOnceWithSelectedSeeds() {
 		long first = Long.getLong("ledger.seed", 7);
 		int steps = Integer.getInteger("ledger.steps", STEPS);
 		for (long seed = first; seed < first + Integer.getInteger("ledger.runs", 1); seed++) {
@@ -82,23 +83,23 @@
 		Duration keyWindow = Duration.ofSeconds(25);
 		List<Duration> answerWindows = List.of(Duration.ZERO, Duration.ofMillis(500), keyWindow);
 		Map<String, Integer> counts = run(
-				new LedgerWorld(seed, settings(keyWindow, Duration.ofSeconds(30)), answerWindows), steps);
+				new LedgerSimulation(seed, settings(keyWindow, Duration.ofSeconds(30)), answerWindows), steps);
 		assertThat(counts).containsKey("answered without body");
 	}
 
 	private Map<String, Integer> run(long seed, int steps, ClaimSettings settings) {
-		return run(new LedgerWorld(seed, settings), steps);
+		return run(new LedgerSimulation(seed, settings), steps);
 	}
 
-	private Map<String, Integer> run(LedgerWorld world, int steps) {
+	private Map<String, Integer> run(LedgerSimulation simulation, int steps) {
 		try {
-			Map<String, Integer> counts = world.run(steps);
+			Map<String, Integer> counts = simulation.run(steps);
 			assertThat(counts).containsKeys("run", "not run", "unknown", "answered repeat", "fault death",
 					"fault pause", "fault trim", "fault append answer lost", "fault append takes effect late");
 			return counts;
 		}
 		finally {
-			System.out.println(world);
+			System.out.println(simulation);
 		}
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerWorld.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerSimulation.java
@@ -22,10 +22,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Several claim systems over a fake log and a fake endpoint, in virtual time, under every
- * fault at once. The same seed gives the same run.
+ * Deterministic simulation of several claim systems with a fake log and a fake endpoint
+ * in virtual time, under combined faults. The same seed gives the same run.
  */
-final class LedgerWorld {
+final class LedgerSimulation {
 
 	private static final Duration STEP = Duration.ofMillis(10);
 
@@ -66,12 +66,12 @@
 
 	private boolean healed;
 
-	LedgerWorld(long seed, ClaimSettings settings) {
+	LedgerSimulation(long seed, ClaimSettings settings) {
 		this(seed, settings, List.of(settings.answerWindow()));
 	}
 
-	// Creates a world whose processes differ in how long they keep answers.
-	LedgerWorld(long seed, ClaimSettings settings, List<Duration> answerWindows) {
+	// Creates a simulation whose processes use different answer windows.
+	LedgerSimulation(long seed, ClaimSettings settings, List<Duration> answerWindows) {
 		this.seed = seed;
 		this.answerWindows = List.copyOf(answerWindows);
 		this.random = new SplittableRandom(seed);
@@ -125,7 +125,7 @@
 			reclaim();
 		}
 		if (chance(0.002)) {
-			askPeers(anyProcess());
+			restoreFromPeer(anyProcess());
 		}
 		if (chance(0.001)) {
 			fault("stop");
@@ -153,13 +153,13 @@
 	private RequestId submit(EntryProcess process, CallKey key, String body) {
 		RequestId id = new RequestId("request-" + this.sequence++);
 		BodyDigest digest = new BodyDigest(body);
-		Duration patience = millis(300, 6000);
-		process.post((target) -> target.submit(new ClaimRequest(id, key, digest, target.clock().plus(patience))));
+		Duration timeout = millis(300, 6000);
+		process.post((target) -> target.submit(new ClaimRequest(id, key, digest, target.clock().plus(timeout))));
 		return id;
 	}
 
-	// A process that starts while others run may get their view from them.
-	private void askPeers(EntryProcess process) {
+	// A process that starts while others are running may receive their state.
+	private void restoreFromPeer(EntryProcess process) {
 		EntryProcess peer = anyProcess();
 		for (int index = 0; index < this.logs.size(); index++) {
 			KeySlot slot = new KeySlot(index);
@@ -205,8 +205,8 @@
 		this.processes.forEach(EntryProcess::wake);
 	}
 
-	// Heals all faults, then asks each process for a fresh key in every slot: what was
-	// survived must also leave a system that works.
+	// Heals all faults, then submits fresh keys to each process in every slot: the system
+	// must be functional after the faults.
 	private void recover() {
 		this.healed = true;
 		this.logDownUntil = this.now;
@@ -215,8 +215,8 @@
 				replace(index);
 			}
 		}
-		Duration longest = this.settings.retention().plus(this.settings.checkpointInterval().multipliedBy(2));
-		advance(longest.dividedBy(STEP));
+		Duration recoveryTime = this.settings.retention().plus(this.settings.checkpointInterval().multipliedBy(2));
+		advance(recoveryTime.dividedBy(STEP));
 		this.logs.forEach(this::resetIfLost);
 		advance(500);
 		List<CallKey> keys = new ArrayList<>();
@@ -235,8 +235,8 @@
 			.forEach((logged) -> this.oracle.count("record " + logged.record().getClass().getSimpleName())));
 	}
 
-	// Where keys outlive retention and every process that had a view is gone, nobody can
-	// tell which keys ran. The operator decides, by an empty checkpoint.
+	// If keys outlive retention and every process with a complete view has failed, it is
+	// unknown which calls ran. The operator resets the state by an empty checkpoint.
 	private void resetIfLost(FakeLog log) {
 		KeySlot slot = new KeySlot(this.logs.indexOf(log));
 		if (this.processes.stream().noneMatch((process) -> process.system.table(slot).complete())) {
@@ -278,8 +278,8 @@
 		this.oracle.count("fault " + kind);
 	}
 
-	private Duration millis(int least, int most) {
-		return Duration.ofMillis(this.random.nextInt(least, most));
+	private Duration millis(int minimum, int maximum) {
+		return Duration.ofMillis(this.random.nextInt(minimum, maximum));
 	}
 
 	private void schedule(Duration delay, Runnable action) {
@@ -301,7 +301,7 @@
 
 	}
 
-	/** One life of one entry process. */
+	/** A single incarnation of an entry process. */
 	private final class EntryProcess implements ClaimPort {
 
 		private final Incarnation self;
@@ -318,17 +318,17 @@
 
 		private boolean stopped;
 
-		private Instant pausedUntil = LedgerWorld.this.now;
+		private Instant pausedUntil = LedgerSimulation.this.now;
 
 		EntryProcess(VmId vm) {
-			this.self = new Incarnation(vm, LedgerWorld.this.random.nextLong());
-			this.system = new ClaimSystem(this.self, this::clock, LedgerWorld.this.random.split(), settings(this.self),
-					this);
-			LedgerWorld.this.logs.forEach((log) -> poll(new KeySlot(LedgerWorld.this.logs.indexOf(log))));
+			this.self = new Incarnation(vm, LedgerSimulation.this.random.nextLong());
+			this.system = new ClaimSystem(this.self, this::clock, LedgerSimulation.this.random.split(),
+					settings(this.self), this);
+			LedgerSimulation.this.logs.forEach((log) -> poll(new KeySlot(LedgerSimulation.this.logs.indexOf(log))));
 		}
 
 		Instant clock() {
-			return LedgerWorld.this.now.plus(this.skew);
+			return LedgerSimulation.this.now.plus(this.skew);
 		}
 
 		void post(Message message) {
@@ -336,7 +336,7 @@
 		}
 
 		void wake() {
-			if (!this.alive || LedgerWorld.this.now.isBefore(this.pausedUntil)) {
+			if (!this.alive || LedgerSimulation.this.now.isBefore(this.pausedUntil)) {
 				return;
 			}
 			List<Message> messages = List.copyOf(this.inbox);
@@ -347,7 +347,7 @@
 
 		void submit(ClaimRequest request) {
 			if (!this.submitted.containsKey(request.request())) {
-				this.submitted.put(request.request(), new Submitted(request, LedgerWorld.this.now));
+				this.submitted.put(request.request(), new Submitted(request, LedgerSimulation.this.now));
 				this.system.submit(request);
 			}
 		}
@@ -359,8 +359,8 @@
 
 		@Override
 		public void append(KeySlot slot, AppendId append, List<LedgerRecord> records) {
-			LedgerWorld world = LedgerWorld.this;
-			records.forEach((record) -> world.sentAt.putIfAbsent(record.id(), world.now));
+			LedgerSimulation simulation = LedgerSimulation.this;
+			records.forEach((record) -> simulation.sentAt.putIfAbsent(record.id(), simulation.now));
 			if (fails("append refused", 0.03)) {
 				appendAnswered(append, millis(1, 50), new AppendResult.Refused(millis(1, 300)));
 				return;
@@ -369,39 +369,41 @@
 			boolean late = fails("append takes effect late", 0.04);
 			boolean answerLost = fails("append answer lost", 0.06);
 			schedule(millis(1, 30).plus(slow ? millis(100, 2000) : Duration.ZERO), () -> {
-				if (world.logDown() || late) {
+				if (simulation.logDown() || late) {
 					appendAnswered(append, millis(100, 1500), new AppendResult.Unanswered());
 					if (late) {
-						schedule(millis(100, 20_000), () -> world.logs.get(slot.index()).append(records, world.now));
+						schedule(millis(100, 20_000),
+								() -> simulation.logs.get(slot.index()).append(records, simulation.now));
 					}
 					return;
 				}
-				AppendResult result = world.logs.get(slot.index()).append(records, world.now);
+				AppendResult result = simulation.logs.get(slot.index()).append(records, simulation.now);
 				appendAnswered(append, millis(1, 30), answerLost ? new AppendResult.Unanswered() : result);
 			});
 		}
 
 		@Override
 		public void dispatch(RequestId request, CallKey key, long intentOffset) {
-			LedgerWorld world = LedgerWorld.this;
+			LedgerSimulation simulation = LedgerSimulation.this;
 			if (fails("dispatch never sent", 0.03)) {
 				dispatchEnded(request, new DispatchResult.NeverSent());
 				return;
 			}
 			BodyDigest digest = submitted(request).request().digest();
-			LoggedRecord intent = world.logs.get(KeySlot.of(key, world.settings.slots()).index()).get(intentOffset);
-			Instant dispatchedAt = world.now;
+			LoggedRecord intent = simulation.logs.get(KeySlot.of(key, simulation.settings.slots()).index())
+				.get(intentOffset);
+			Instant dispatchedAt = simulation.now;
 			Instant claimedAt = claimedAt((LedgerRecord.Intent) intent.record());
-			boolean neverArrives = fails("call lost on its way", 0.03);
+			boolean neverReceived = fails("call lost on its way", 0.03);
 			boolean answerLost = fails("endpoint answer lost", 0.05);
 			schedule(millis(1, 800), () -> {
 				StoredAnswer answer = new StoredAnswer(200, "text/plain",
-						Body.copyOf(("run " + world.sequence++).getBytes(StandardCharsets.UTF_8)), true);
-				if (!neverArrives) {
-					world.oracle.ran(new LedgerOracle.Run(key, digest, request, this.self, intent.appendedAt(),
+						Body.copyOf(("run " + simulation.sequence++).getBytes(StandardCharsets.UTF_8)), true);
+				if (!neverReceived) {
+					simulation.oracle.ran(new LedgerOracle.Run(key, digest, request, this.self, intent.appendedAt(),
 							claimedAt, dispatchedAt, answer));
 				}
-				boolean known = !neverArrives && !answerLost;
+				boolean known = !neverReceived && !answerLost;
 				dispatchEnded(request,
 						known ? new DispatchResult.Completed(answer) : new DispatchResult.OutcomeUnknown());
 			});
@@ -409,41 +411,42 @@
 
 		@Override
 		public void answer(RequestId request, ClaimAnswer answer) {
-			Submitted asked = submitted(request);
-			LedgerWorld.this.oracle.answered(this.self, asked.request(), asked.at(), LedgerWorld.this.now, answer);
+			Submitted answered = submitted(request);
+			LedgerSimulation.this.oracle.answered(this.self, answered.request(), answered.at(),
+					LedgerSimulation.this.now, answer);
 		}
 
 		void checkTables() {
-			for (int index = 0; index < LedgerWorld.this.logs.size(); index++) {
+			for (int index = 0; index < LedgerSimulation.this.logs.size(); index++) {
 				KeyTable table = this.system.table(new KeySlot(index));
-				KeyTable whole = new KeyTable(LedgerWorld.this.settings.answerWindow());
-				int from = LedgerWorld.this.resets.getOrDefault(index, 0);
-				whole.emptied(from);
-				LedgerWorld.this.logs.get(index)
+				KeyTable expected = new KeyTable(LedgerSimulation.this.settings.answerWindow());
+				int from = LedgerSimulation.this.resets.getOrDefault(index, 0);
+				expected.emptied(from);
+				LedgerSimulation.this.logs.get(index)
 					.all()
 					.subList(from, (int) table.nextOffset())
-					.forEach((logged) -> whole.apply(logged.offset(), logged.record(), logged.appendedAt()));
-				if (LedgerWorld.this.answerWindows.size() == 1) {
-					assertThat(live(table)).as("table %s of %s, %s", index, this.self, LedgerWorld.this)
-						.containsExactlyElementsOf(live(whole));
-					assertThat(table.endedKeys()).as("digests %s of %s, %s", index, this.self, LedgerWorld.this)
-						.containsExactlyElementsOf(whole.endedKeys());
+					.forEach((logged) -> expected.apply(logged.offset(), logged.record(), logged.appendedAt()));
+				if (LedgerSimulation.this.answerWindows.size() == 1) {
+					assertThat(live(table)).as("table %s of %s, %s", index, this.self, LedgerSimulation.this)
+						.containsExactlyElementsOf(live(expected));
+					assertThat(table.endedKeys()).as("digests %s of %s, %s", index, this.self, LedgerSimulation.this)
+						.containsExactlyElementsOf(expected.endedKeys());
 				}
-				assertThat(running(table)).as("running %s of %s, %s", index, this.self, LedgerWorld.this)
-					.containsExactlyElementsOf(running(whole));
-				assertThat(ended(table)).as("ended %s of %s, %s", index, this.self, LedgerWorld.this)
-					.containsExactlyInAnyOrderElementsOf(ended(whole));
-				LedgerWorld.this.oracle.count("digests kept", table.endedKeys().size());
+				assertThat(running(table)).as("running %s of %s, %s", index, this.self, LedgerSimulation.this)
+					.containsExactlyElementsOf(running(expected));
+				assertThat(ended(table)).as("ended %s of %s, %s", index, this.self, LedgerSimulation.this)
+					.containsExactlyInAnyOrderElementsOf(ended(expected));
+				LedgerSimulation.this.oracle.count("digests kept", table.endedKeys().size());
 			}
 			assertThat(this.system.waitingRequests()).isZero();
 			assertThat(this.system.canStop()).isTrue();
 		}
 
-		// A claim that another process handed over is this one's only once it is read,
-		// which the dispatch follows at once.
+		// A claim handed over by another process takes effect when it is read,
+		// immediately before the dispatch.
 		private Instant claimedAt(LedgerRecord.Intent intent) {
-			Instant sent = Objects.requireNonNull(LedgerWorld.this.sentAt.get(intent.id()));
-			return intent.author().equals(this.self) ? sent : LedgerWorld.this.now;
+			Instant sent = Objects.requireNonNull(LedgerSimulation.this.sentAt.get(intent.id()));
+			return intent.author().equals(this.self) ? sent : LedgerSimulation.this.now;
 		}
 
 		private Submitted submitted(RequestId request) {
@@ -458,7 +461,8 @@
 			return live(table).stream().filter((state) -> !state.ended()).toList();
 		}
 
-		// What all processes must agree on, however long each keeps answers.
+		// The state that must be equal in all processes regardless of their answer
+		// windows.
 		private List<EndedKey> ended(KeyTable table) {
 			List<EndedKey> ended = new ArrayList<>(table.endedKeys());
 			live(table).stream().filter(KeyState::ended).map(EndedKey::of).forEach(ended::add);
@@ -466,17 +470,17 @@
 		}
 
 		private void poll(KeySlot slot) {
-			LedgerWorld world = LedgerWorld.this;
+			LedgerSimulation simulation = LedgerSimulation.this;
 			Duration lag = fails("reader lags", 0.01) ? millis(200, 3000) : millis(5, 60);
 			schedule(lag, () -> {
 				if (!this.alive) {
 					return;
 				}
-				if (world.logDown()) {
+				if (simulation.logDown()) {
 					poll(slot);
 					return;
 				}
-				FakeLog.Read read = world.logs.get(slot.index()).read(this.system.table(slot).nextOffset(), 100);
+				FakeLog.Read read = simulation.logs.get(slot.index()).read(this.system.table(slot).nextOffset(), 100);
 				schedule(millis(1, 40), () -> post((process) -> {
 					process.system.recordsRead(slot, read.firstRetained(), read.endOffset(), read.records());
 					poll(slot);
