--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/AnswerListener.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/AnswerListener.java
@@ -4,39 +4,40 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Receives the answer to one call, on the event loop's thread.
+ * Receives the response to one call, on the event loop thread.
  */
 public interface AnswerListener {
 
 	/**
-	 * Returns whether the call may still be made, now that its connection stands.
-	 * @return whether it may
+	 * Returns whether the request may still be sent. Called once a new connection has
+	 * been established.
+	 * @return {@code false} to fail the call with {@link CallFailure#WITHDRAWN}
 	 */
-	default boolean mayBegin() {
+	default boolean maySend() {
 		return true;
 	}
 
 	/**
-	 * Receives the status and headers of an answer.
+	 * Receives the status and headers of a response.
 	 * @param head the status and headers
-	 * @return whether the answer belongs to the call; one that does not is passed over
+	 * @return whether the response belongs to the call; one that does not is discarded
 	 */
 	boolean head(HttpResponse head);
 
 	/**
-	 * Receives a part of the body.
-	 * @param content the part, valid during this call only
+	 * Receives a chunk of the body.
+	 * @param content the chunk, valid during this method call only
 	 */
 	void content(ByteBuf content);
 
 	/**
-	 * Called when the answer is complete.
+	 * Called when the response is complete.
 	 */
 	void completed();
 
 	/**
-	 * Called when there will be no complete answer.
-	 * @param failure why
+	 * Called when the call has failed and no complete response will follow.
+	 * @param failure the cause
 	 */
 	void failed(CallFailure failure);
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
@@ -13,11 +13,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request at one endpoint.
+ * One attempt to send a request to an endpoint.
  */
 final class Attempt implements AnswerListener {
 
-	/** An answer that is no stream is kept whole until it is known to be sound. */
+	/** A non-streaming response is buffered until it is known to be valid. */
 	private static final int MAXIMUM_BUFFERED_BYTES = 16 << 20;
 
 	private final Exchange exchange;
@@ -34,13 +34,13 @@
 
 	private final long tokensAhead;
 
-	private boolean promptRead;
+	private boolean prefillCompleted;
 
-	private int events;
+	private int eventCount;
 
-	private @Nullable Duration firstEventAfter;
+	private @Nullable Duration timeToFirstEvent;
 
-	private boolean left;
+	private boolean finished;
 
 	private @Nullable ClientCall call;
 
@@ -62,23 +62,23 @@
 		this.endpoint.rateLimiter().sent(sentAt);
 	}
 
-	void started(ClientCall started) {
-		this.call = started;
+	void callStarted(ClientCall startedCall) {
+		this.call = startedCall;
 	}
 
 	Endpoint endpoint() {
 		return this.endpoint;
 	}
 
-	HttpResponse answerHead() {
-		return Objects.requireNonNull(this.head, "no answer has begun");
+	HttpResponse responseHead() {
+		return Objects.requireNonNull(this.head, "no response has been received");
 	}
 
 	EndpointHeaders responseHeaders() {
-		return Objects.requireNonNull(this.responseHeaders, "no answer has begun");
+		return Objects.requireNonNull(this.responseHeaders, "no response has been received");
 	}
 
-	boolean unanswered() {
+	boolean awaitingResponse() {
 		return this.head == null;
 	}
 
@@ -90,85 +90,88 @@
 		return Duration.ofNanos(this.exchange.now() - this.sentAt);
 	}
 
-	RequestLog.AttemptFacts facts() {
+	RequestLog.AttemptFacts describe() {
 		return new RequestLog.AttemptFacts(this.exchange.requestId(), this.endpoint.id().value(), this.number,
 				this.predictedMillis, elapsed());
 	}
 
-	/** Gives the attempt up, by which the endpoint learns to stop. */
+	/**
+	 * Cancels the attempt. The reset of its connection tells the endpoint to stop.
+	 */
 	void cancel() {
-		leave();
+		finish();
 		if (this.call != null) {
 			this.call.cancel();
 		}
 	}
 
-	// The first event shows that the prompt was read.
-	void event() {
-		this.events++;
-		if (!this.promptRead) {
-			readPrompt();
-			this.firstEventAfter = elapsed();
-			this.endpoint.firstToken(this.firstEventAfter, this.tokensAhead + this.prefillTokens, this.exchange.now());
+	// The first event shows that the prefill is complete.
+	void eventReceived() {
+		this.eventCount++;
+		if (!this.prefillCompleted) {
+			completePrefill();
+			this.timeToFirstEvent = elapsed();
+			this.endpoint.firstToken(this.timeToFirstEvent, this.tokensAhead + this.prefillTokens, this.exchange.now());
 		}
 	}
 
-	AnswerTimes times() {
-		Duration first = this.firstEventAfter;
+	AnswerTimes responseTimes() {
+		Duration first = this.timeToFirstEvent;
 		if (first == null) {
 			return new AnswerTimes(millis(elapsed()), 0);
 		}
 		double expected = this.endpoint.idleFirstTokenMillis(this.tokensAhead + this.prefillTokens);
 		double streaming = millis(elapsed().minus(first));
-		return new AnswerTimes(millis(first) / expected, streaming / Math.max(1, this.events - 1));
+		return new AnswerTimes(millis(first) / expected, streaming / Math.max(1, this.eventCount - 1));
 	}
 
 	private static double millis(Duration duration) {
 		return duration.toNanos() / 1e6;
 	}
 
-	private void readPrompt() {
-		if (!this.promptRead) {
-			this.promptRead = true;
+	private void completePrefill() {
+		if (!this.prefillCompleted) {
+			this.prefillCompleted = true;
 			this.endpoint.promptRead(this.prefillTokens);
 		}
 	}
 
-	private void leave() {
-		if (!this.left) {
-			this.left = true;
-			readPrompt();
+	private void finish() {
+		if (!this.finished) {
+			this.finished = true;
+			completePrefill();
 			this.endpoint.left();
 		}
 	}
 
 	@Override
-	public boolean mayBegin() {
+	public boolean maySend() {
 		return this.exchange.maySend(this.endpoint);
 	}
 
 	@Override
-	public boolean head(HttpResponse answer) {
-		EndpointHeaders headers = this.exchange.headerCodec().readEndpoint(answer.headers());
+	public boolean head(HttpResponse response) {
+		EndpointHeaders headers = this.exchange.headerCodec().readEndpoint(response.headers());
 		if (headers.requestId() != null && !headers.requestId().equals(this.exchange.requestId())) {
 			return false;
 		}
-		this.head = answer;
+		this.head = response;
 		this.responseHeaders = headers;
 		if (headers.load() != null) {
 			this.endpoint.reported(headers.load(), this.exchange.now());
 		}
-		// Bytes that are no answer of the endpoint don't tell that a limit has ended.
+		// A response that the endpoint did not produce itself is no evidence that a limit
+		// has been lifted.
 		if (headers.sealed() || headers.notRun()) {
-			this.exchange.rateLimited(this.endpoint, headers.rateLimit());
+			this.exchange.updateRateLimit(this.endpoint, headers.rateLimit());
 		}
 		return true;
 	}
 
 	@Override
 	public void content(ByteBuf content) {
-		if (this.exchange.streams(this)) {
-			this.exchange.streamed(this, content);
+		if (this.exchange.isStreaming(this)) {
+			this.exchange.forwardEvents(this, content);
 			return;
 		}
 		if (this.body.readableBytes() + content.readableBytes() > MAXIMUM_BUFFERED_BYTES) {
@@ -184,13 +187,13 @@
 
 	@Override
 	public void completed() {
-		leave();
+		finish();
 		this.exchange.completed(this);
 	}
 
 	@Override
 	public void failed(CallFailure failure) {
-		leave();
+		finish();
 		this.exchange.failed(this, failure);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallFailure.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallFailure.java
@@ -1,23 +1,23 @@
 package org.banyancove.gateway.exchange;
 
 /**
- * Why a call to an endpoint has no whole answer.
+ * The reasons why a call to an endpoint has no complete response.
  */
 public enum CallFailure {
 
-	/** No byte of the request left: the connection could not be made. */
+	/** The connection could not be established; no byte of the request was sent. */
 	NOT_SENT(false),
 
-	/** No byte of the request left: the endpoint may not be used any more. */
+	/** The endpoint may no longer be used; no byte of the request was sent. */
 	WITHDRAWN(false),
 
-	/** The connection ended, or was given up, before an answer began. */
+	/** The connection was closed, or the call cancelled, before a response began. */
 	NO_ANSWER(true),
 
-	/** The answer began and broke off. */
+	/** The response was interrupted before its end. */
 	BROKEN_ANSWER(true),
 
-	/** The bytes are no answer. */
+	/** The response cannot be decoded, or exceeds the size limit. */
 	UNREADABLE(true);
 
 	private final boolean mayHaveRun;
@@ -28,7 +28,7 @@
 
 	/**
 	 * Returns whether the endpoint may have run the request.
-	 * @return whether it may have
+	 * @return {@code false} if no byte of the request was sent
 	 */
 	public boolean mayHaveRun() {
 		return this.mayHaveRun;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallOptions.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallOptions.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How a call uses connections.
+ * The connection options of a call.
  *
- * @param connectTimeout how long a new connection may take
- * @param maximumIdle how long a kept connection may have been idle to be used
- * @param maximumConnections the connections to one address at once
+ * @param connectTimeout the timeout for establishing a new connection
+ * @param maximumIdleTime the idle time beyond which a pooled connection is not reused
+ * @param maximumConnections the maximum number of open connections per address
  */
-public record CallOptions(Duration connectTimeout, Duration maximumIdle, int maximumConnections) {
+public record CallOptions(Duration connectTimeout, Duration maximumIdleTime, int maximumConnections) {
 
 	/**
 	 * Creates the options.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerConnection.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerConnection.java
@@ -32,27 +32,27 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One caller's connection: reads whole requests, one after the other, and writes their
- * answers in that order.
+ * A caller's HTTP/1.1 connection. Reads complete requests, which may be pipelined, and
+ * writes their responses in the same order.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-	/** A caller that sends more requests ahead of their answers is cut off. */
+	/** The connection of a caller that pipelines more requests is closed. */
 	private static final int MAXIMUM_PIPELINED = 16;
 
 	private final CallerServer server;
 
-	private final Queue<CallerRequest> ahead = new ArrayDeque<>();
+	private final Queue<CallerRequest> pipelinedRequests = new ArrayDeque<>();
 
 	private @Nullable Channel channel;
 
-	private @Nullable HttpRequest head;
+	private @Nullable HttpRequest requestHead;
 
-	private ByteBuf body = Unpooled.EMPTY_BUFFER;
+	private ByteBuf requestBody = Unpooled.EMPTY_BUFFER;
 
-	private @Nullable ResponseSubscription answering;
+	private @Nullable InFlightRequest inFlight;
 
-	private boolean answerKeepsOpen;
+	private boolean keepAliveRequested;
 
 	private boolean streaming;
 
@@ -68,7 +68,7 @@
 	public void channelActive(ChannelHandlerContext context) {
 		this.channel = context.channel();
 		this.server.opened(this);
-		awaitRequest();
+		startIdleTimer();
 	}
 
 	@Override
@@ -77,20 +77,20 @@
 			return;
 		}
 		if (message.decoderResult().isFailure()) {
-			refuseUnreadable(message.decoderResult().cause());
+			rejectUndecodable(message.decoderResult().cause());
 			return;
 		}
 		if (message instanceof HttpRequest request) {
 			beginRequest(context, request);
 		}
-		if (message instanceof HttpContent content && this.head != null) {
+		if (message instanceof HttpContent content && this.requestHead != null) {
 			readBody(content);
 		}
 	}
 
 	private void beginRequest(ChannelHandlerContext context, HttpRequest request) {
-		this.head = request;
-		this.body = Unpooled.EMPTY_BUFFER;
+		this.requestHead = request;
+		this.requestBody = Unpooled.EMPTY_BUFFER;
 		if (HttpUtil.is100ContinueExpected(request)) {
 			context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
 					Unpooled.EMPTY_BUFFER));
@@ -104,101 +104,103 @@
 
 	private void readBody(HttpContent content) {
 		int added = content.content().readableBytes();
-		if (this.body.readableBytes() + added > this.server.limits().maxBodyBytes()) {
+		if (this.requestBody.readableBytes() + added > this.server.limits().maxBodyBytes()) {
 			reject(ErrorKind.BODY_TOO_LARGE);
 			return;
 		}
 		if (added > 0) {
-			if (this.body.capacity() == 0) {
-				this.body = Unpooled.buffer(Math.max(added, 256));
+			if (this.requestBody.capacity() == 0) {
+				this.requestBody = Unpooled.buffer(Math.max(added, 256));
 			}
-			this.body.writeBytes(content.content());
+			this.requestBody.writeBytes(content.content());
 		}
 		if (content instanceof LastHttpContent) {
-			HttpRequest whole = this.head;
-			this.head = null;
+			HttpRequest completeHead = this.requestHead;
+			this.requestHead = null;
 			stopTimer();
-			if (whole != null) {
-				this.ahead.add(new CallerRequest(whole, this.body, this.server.clock().nanos()));
+			if (completeHead != null) {
+				this.pipelinedRequests
+					.add(new CallerRequest(completeHead, this.requestBody, this.server.clock().nanos()));
 			}
-			if (this.ahead.size() > MAXIMUM_PIPELINED) {
+			if (this.pipelinedRequests.size() > MAXIMUM_PIPELINED) {
 				close();
 				return;
 			}
-			next();
+			startNext();
 		}
 	}
 
-	// Begins the next request if none is being answered.
-	private void next() {
-		if (this.answering != null || this.closing) {
+	// Starts the next request unless one is in progress.
+	private void startNext() {
+		if (this.inFlight != null || this.closing) {
 			return;
 		}
-		CallerRequest request = this.ahead.poll();
+		CallerRequest request = this.pipelinedRequests.poll();
 		if (request == null) {
-			awaitRequest();
+			startIdleTimer();
 			return;
 		}
-		this.answerKeepsOpen = HttpUtil.isKeepAlive(request.head());
-		this.answering = ResponseSubscription.BEGUN;
-		ResponseSubscription begun = this.server.begin(this, request);
-		if (ResponseSubscription.BEGUN.equals(this.answering)) {
-			this.answering = begun;
+		this.keepAliveRequested = HttpUtil.isKeepAlive(request.head());
+		this.inFlight = InFlightRequest.NO_OP;
+		InFlightRequest started = this.server.begin(this, request);
+		if (InFlightRequest.NO_OP.equals(this.inFlight)) {
+			this.inFlight = started;
 		}
 	}
 
 	/**
-	 * Writes a whole answer.
-	 * @param answer the answer, without the headers that concern this connection only
+	 * Writes a complete response.
+	 * @param response the response, without hop-by-hop headers
 	 */
-	void answer(FullHttpResponse answer) {
-		Channel open = this.channel;
-		if (open == null || this.answering == null) {
-			answer.release();
+	void respond(FullHttpResponse response) {
+		Channel openChannel = this.channel;
+		if (openChannel == null || this.inFlight == null) {
+			response.release();
 			return;
 		}
-		boolean keep = this.answerKeepsOpen && !this.server.stopping();
-		HttpUtil.setContentLength(answer, answer.content().readableBytes());
-		setConnection(answer, keep);
-		finish(open.writeAndFlush(answer), keep);
+		boolean keepAlive = this.keepAliveRequested && !this.server.stopping();
+		HttpUtil.setContentLength(response, response.content().readableBytes());
+		setConnection(response, keepAlive);
+		finish(openChannel.writeAndFlush(response), keepAlive);
 	}
 
 	/**
-	 * Begins a streamed answer.
+	 * Begins a streaming response.
 	 * @param start the status and headers
 	 */
 	void beginStream(HttpResponse start) {
 		this.streaming = true;
 		HttpUtil.setTransferEncodingChunked(start, true);
-		setConnection(start, this.answerKeepsOpen && !this.server.stopping());
+		setConnection(start, this.keepAliveRequested && !this.server.stopping());
 		if (this.channel != null) {
 			this.channel.write(start);
 		}
 	}
 
 	/**
-	 * Writes a part of a streamed answer.
-	 * @param part the bytes
+	 * Writes a chunk of a streaming response.
+	 * @param content the bytes
 	 */
-	void stream(byte[] part) {
+	void writeContent(byte[] content) {
 		if (this.channel != null) {
-			this.channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(part)));
+			this.channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(content)));
 		}
 	}
 
 	/**
-	 * Ends a streamed answer that is whole.
+	 * Ends a complete streaming response.
 	 */
 	void endStream() {
-		Channel open = this.channel;
-		if (open != null) {
-			finish(open.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT),
-					this.answerKeepsOpen && !this.server.stopping());
+		Channel openChannel = this.channel;
+		if (openChannel != null) {
+			finish(openChannel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT),
+					this.keepAliveRequested && !this.server.stopping());
 		}
 	}
 
 	/**
-	 * Ends an answer that is not whole, so that the caller can tell.
+	 * Aborts an incomplete response by closing the connection, so that the caller can
+	 * detect the truncation.
 	 */
 	void abort() {
 		close();
@@ -209,30 +211,31 @@
 	}
 
 	/**
-	 * Closes the connection if no request is on it.
+	 * Closes the connection if it has no request in progress.
 	 */
 	void closeIfIdle() {
-		if (this.answering == null && this.head == null && this.ahead.isEmpty()) {
+		if (this.inFlight == null && this.requestHead == null && this.pipelinedRequests.isEmpty()) {
 			close();
 		}
 	}
 
-	private void finish(ChannelFuture written, boolean keep) {
-		this.answering = null;
+	private void finish(ChannelFuture writeFuture, boolean keepAlive) {
+		this.inFlight = null;
 		this.streaming = false;
-		if (!keep) {
+		if (!keepAlive) {
 			this.closing = true;
-			written.addListener(ChannelFutureListener.CLOSE);
+			writeFuture.addListener(ChannelFutureListener.CLOSE);
 			return;
 		}
-		next();
+		startNext();
 	}
 
-	private static void setConnection(HttpResponse answer, boolean keep) {
-		answer.headers().set(HttpHeaderNames.CONNECTION, keep ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
+	private static void setConnection(HttpResponse response, boolean keepAlive) {
+		response.headers()
+			.set(HttpHeaderNames.CONNECTION, keepAlive ? HttpHeaderValues.KEEP_ALIVE : HttpHeaderValues.CLOSE);
 	}
 
-	private void refuseUnreadable(Throwable cause) {
+	private void rejectUndecodable(Throwable cause) {
 		if (cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException) {
 			reject(ErrorKind.HEADERS_TOO_LARGE);
 		}
@@ -241,24 +244,25 @@
 		}
 	}
 
-	// Answers what cannot be read any further, after the answers before it, and closes.
+	// Rejects a request that cannot be read further, and closes the connection. While an
+	// earlier request is in progress, the connection is closed without a response.
 	private void reject(ErrorKind kind) {
 		stopTimer();
-		this.head = null;
-		Channel open = this.channel;
-		if (open == null || this.answering != null) {
+		this.requestHead = null;
+		Channel openChannel = this.channel;
+		if (openChannel == null || this.inFlight != null) {
 			close();
 			return;
 		}
 		this.closing = true;
-		FullHttpResponse answer = FailureAnswer.of(kind, null);
-		HttpUtil.setContentLength(answer, answer.content().readableBytes());
-		setConnection(answer, false);
-		open.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
-		this.server.rejectedUnread(kind);
+		FullHttpResponse response = ErrorResponse.of(kind, null);
+		HttpUtil.setContentLength(response, response.content().readableBytes());
+		setConnection(response, false);
+		openChannel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+		this.server.rejectedBeforeRead(kind);
 	}
 
-	private void awaitRequest() {
+	private void startIdleTimer() {
 		startTimer(this.server.limits().idleTimeout(), this::closeIfIdle);
 	}
 
@@ -288,19 +292,19 @@
 		stopTimer();
 		this.closing = true;
 		this.channel = null;
-		this.ahead.clear();
-		ResponseSubscription current = this.answering;
-		this.answering = null;
+		this.pipelinedRequests.clear();
+		InFlightRequest current = this.inFlight;
+		this.inFlight = null;
 		this.server.closed(this);
 		if (current != null) {
-			current.callerLeft();
+			current.callerDisconnected();
 		}
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-		// The caller reset its connection, or a handler failed; either way it must not go
-		// on.
+		// The caller reset the connection or a handler failed; neither leaves it in a
+		// usable state.
 		this.server.connectionFailed(cause);
 		context.close();
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerRequest.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerRequest.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * A whole request as a caller sent it.
+ * A complete request received from a caller.
  *
- * @param head its method, path and headers
- * @param body its body, on the heap
- * @param arrivedAt when its last byte was read, on the steady clock
+ * @param head the method, URI and headers
+ * @param body the body, in a heap buffer
+ * @param arrivedAt the monotonic time at which the last byte was read, in ns
  */
 record CallerRequest(HttpRequest head, ByteBuf body, long arrivedAt) {
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerServer.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerServer.java
@@ -22,7 +22,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Listens for callers.
+ * The HTTP server for callers.
  */
 public final class CallerServer {
 
@@ -34,7 +34,7 @@
 
 	private final Supplier<CallerLimits> limits;
 
-	private final RequestFlow flow;
+	private final RequestFlow dispatcher;
 
 	private final Set<CallerConnection> connections = new HashSet<>();
 
@@ -42,22 +42,23 @@
 
 	/**
 	 * Creates the server.
-	 * @param eventLoops the loop that serves it
-	 * @param clock the steady clock
-	 * @param limits the limits in force
-	 * @param flow handles the requests
+	 * @param eventLoops the event loops that serve the connections
+	 * @param clock the monotonic clock
+	 * @param limits supplies the current limits
+	 * @param dispatcher handles the requests
 	 */
-	public CallerServer(EventLoopGroup eventLoops, SteadyClock clock, Supplier<CallerLimits> limits, RequestFlow flow) {
+	public CallerServer(EventLoopGroup eventLoops, SteadyClock clock, Supplier<CallerLimits> limits,
+			RequestFlow dispatcher) {
 		this.eventLoops = eventLoops;
 		this.clock = clock;
 		this.limits = limits;
-		this.flow = flow;
+		this.dispatcher = dispatcher;
 	}
 
 	/**
-	 * Begins to serve callers' connections.
-	 * @param socket where they arrive, or have arrived before
-	 * @return the channel that listens
+	 * Starts serving connections.
+	 * @param socket the bound server socket; connections in its backlog are served too
+	 * @return the server channel
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public Channel listen(ServerSocketChannel socket) throws InterruptedException {
@@ -80,19 +81,19 @@
 	}
 
 	/**
-	 * Begins to stop: answers from now on close their connections.
+	 * Starts the shutdown: from now on each response closes its connection.
 	 */
 	public void stop() {
 		this.stopping = true;
 	}
 
 	/**
-	 * Closes the connections without a request.
-	 * @return the connections that are left
+	 * Closes the connections that have no request in progress.
+	 * @return the number of connections that remain open
 	 */
 	public int closeIdle() {
-		List<CallerConnection> all = new ArrayList<>(this.connections);
-		all.forEach(CallerConnection::closeIfIdle);
+		List<CallerConnection> snapshot = new ArrayList<>(this.connections);
+		snapshot.forEach(CallerConnection::closeIfIdle);
 		return this.connections.size();
 	}
 
@@ -108,8 +109,8 @@
 		return this.clock;
 	}
 
-	ResponseSubscription begin(CallerConnection connection, CallerRequest request) {
-		return this.flow.begin(connection, request);
+	InFlightRequest begin(CallerConnection connection, CallerRequest request) {
+		return this.dispatcher.begin(connection, request);
 	}
 
 	void opened(CallerConnection connection) {
@@ -120,16 +121,16 @@
 		this.connections.remove(connection);
 	}
 
-	void rejectedUnread(ErrorKind kind) {
-		this.flow.rejectedUnread(kind);
+	void rejectedBeforeRead(ErrorKind kind) {
+		this.dispatcher.rejectedBeforeRead(kind);
 	}
 
 	void connectionFailed(Throwable cause) {
 		if (cause instanceof IOException) {
-			log.debug("a caller reset its connection: {}", cause.toString());
+			log.debug("Caller reset its connection: {}", cause.toString());
 		}
 		else {
-			log.error("a caller's connection failed", cause);
+			log.error("Caller connection failed", cause);
 		}
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientCall.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientCall.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call that has been made and may be given up.
+ * A call in progress, which can be cancelled.
  */
 public final class ClientCall {
 
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * Gives the call up. Resets its connection, by which the endpoint learns to stop; the
+	 * Cancels the call. Resets its connection, which tells the endpoint to stop; the
 	 * listener is not called again.
 	 */
 	public void cancel() {
@@ -41,12 +41,12 @@
 		return this.ended;
 	}
 
-	boolean mayBegin() {
-		return this.listener.mayBegin();
+	boolean maySend() {
+		return this.listener.maySend();
 	}
 
-	FullHttpRequest began(ClientConnection on) {
-		this.connection = on;
+	FullHttpRequest assignTo(ClientConnection assigned) {
+		this.connection = assigned;
 		return this.request.retain();
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnection.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnection.java
@@ -21,24 +21,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to an endpoint or the platform, with at most one call on it.
+ * A pooled connection to an endpoint or the platform, with at most one call in progress.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
 	private static final Logger log = LoggerFactory.getLogger(ClientConnection.class);
 
 	/**
-	 * How long a connection is kept whose server states none: most keep theirs for 5 s or
-	 * more.
+	 * The keep-alive timeout if the server states none; most servers use 5 s or more.
 	 */
-	private static final Duration UNSAID_KEEP_ALIVE = Duration.ofSeconds(4);
+	private static final Duration DEFAULT_KEEP_ALIVE = Duration.ofSeconds(4);
 
 	/**
-	 * A server's timeout may be over before our last byte arrives; so much is left aside.
+	 * The safety margin below a server's keep-alive timeout, which may expire while the
+	 * request is in transit.
 	 */
 	private static final Duration KEEP_ALIVE_MARGIN = Duration.ofMillis(1200);
 
-	private final ClientConnections connections;
+	private final ClientConnections pool;
 
 	private final InetSocketAddress address;
 
@@ -46,20 +46,20 @@
 
 	private @Nullable ClientCall call;
 
-	private @Nullable ChannelFuture writing;
+	private @Nullable ChannelFuture requestWrite;
 
-	private boolean headSeen;
+	private boolean headReceived;
 
-	private boolean passingOver;
+	private boolean ignoringResponse;
 
 	private boolean reusable;
 
 	private long idleSince;
 
-	private Duration keepAlive = UNSAID_KEEP_ALIVE;
+	private Duration keepAliveTimeout = DEFAULT_KEEP_ALIVE;
 
-	ClientConnection(ClientConnections connections, InetSocketAddress address, Channel channel) {
-		this.connections = connections;
+	ClientConnection(ClientConnections pool, InetSocketAddress address, Channel channel) {
+		this.pool = pool;
 		this.address = address;
 		this.channel = channel;
 	}
@@ -72,16 +72,16 @@
 		this.idleSince = now;
 	}
 
-	boolean usable(long now, long longestIdleNanos) {
+	boolean isUsable(long now, long maximumIdleNanos) {
 		long idle = now - this.idleSince;
-		return this.channel.isActive() && idle <= longestIdleNanos && idle < this.keepAlive.toNanos();
+		return this.channel.isActive() && idle <= maximumIdleNanos && idle < this.keepAliveTimeout.toNanos();
 	}
 
-	void begin(ClientCall next) {
-		this.call = next;
-		this.headSeen = false;
-		this.passingOver = false;
-		this.writing = this.channel.writeAndFlush(next.began(this));
+	void send(ClientCall newCall) {
+		this.call = newCall;
+		this.headReceived = false;
+		this.ignoringResponse = false;
+		this.requestWrite = this.channel.writeAndFlush(newCall.assignTo(this));
 	}
 
 	void close() {
@@ -89,9 +89,10 @@
 	}
 
 	/**
-	 * Closes the connection and drops what has not reached the other side. Closed in
-	 * order, a request that a cut holds up would arrive when the cut ends, and run
-	 * seconds after its caller got the answer that the outcome is unknown.
+	 * Resets the connection and discards data that is not yet delivered. After an orderly
+	 * close, a request delayed by a network partition would still be delivered when the
+	 * partition heals, and run seconds after its caller was told that the outcome is
+	 * unknown.
 	 */
 	void reset() {
 		this.channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -102,8 +103,8 @@
 	protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
 		ClientCall current = this.call;
 		if (current == null) {
-			// Bytes that nobody asked for: a second answer. On this connection the next
-			// call would take them for its own answer.
+			// An unsolicited response, such as a duplicate: the next call on this
+			// connection would mistake it for its own response.
 			close();
 			return;
 		}
@@ -120,19 +121,19 @@
 	}
 
 	private void readHead(ClientCall current, HttpResponse head) {
-		this.passingOver = head.status().codeClass() == HttpStatusClass.INFORMATIONAL || !current.head(head);
-		if (this.passingOver) {
+		this.ignoringResponse = head.status().codeClass() == HttpStatusClass.INFORMATIONAL || !current.head(head);
+		if (this.ignoringResponse) {
 			return;
 		}
-		this.headSeen = true;
+		this.headReceived = true;
 		this.reusable = HttpUtil.isKeepAlive(head)
 				&& (HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head));
-		this.keepAlive = readKeepAlive(head);
+		this.keepAliveTimeout = parseKeepAliveTimeout(head);
 	}
 
 	private void readContent(ClientCall current, HttpContent content) {
 		boolean last = content instanceof LastHttpContent;
-		if (this.passingOver) {
+		if (this.ignoringResponse) {
 			return;
 		}
 		if (content.content().isReadable()) {
@@ -145,11 +146,11 @@
 
 	private void finish(ClientCall current) {
 		this.call = null;
-		ChannelFuture written = this.writing;
-		// An answer may come before the whole request was read. What is still to be
-		// written would be taken for the start of the next request.
-		if (this.reusable && written != null && written.isDone() && this.channel.isActive()) {
-			this.connections.keep(this);
+		ChannelFuture pendingWrite = this.requestWrite;
+		// A response may precede the end of the request. The server would read the rest
+		// of the request as the start of the next one.
+		if (this.reusable && pendingWrite != null && pendingWrite.isDone() && this.channel.isActive()) {
+			this.pool.release(this);
 		}
 		else {
 			close();
@@ -157,10 +158,10 @@
 		current.completed();
 	}
 
-	private static Duration readKeepAlive(HttpResponse head) {
+	private static Duration parseKeepAliveTimeout(HttpResponse head) {
 		String value = head.headers().get(HttpHeaderNames.KEEP_ALIVE);
 		if (value == null) {
-			return UNSAID_KEEP_ALIVE;
+			return DEFAULT_KEEP_ALIVE;
 		}
 		for (String part : value.split(",")) {
 			String[] pair = part.trim().split("=", 2);
@@ -170,7 +171,7 @@
 				return kept.isNegative() ? stated.dividedBy(4) : kept;
 			}
 		}
-		return UNSAID_KEEP_ALIVE;
+		return DEFAULT_KEEP_ALIVE;
 	}
 
 	private void fail(CallFailure failure) {
@@ -184,17 +185,18 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		this.connections.closed(this);
-		fail(this.headSeen ? CallFailure.BROKEN_ANSWER : CallFailure.NO_ANSWER);
+		this.pool.removeIdle(this);
+		fail(this.headReceived ? CallFailure.BROKEN_ANSWER : CallFailure.NO_ANSWER);
 	}
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
 		if (!(cause instanceof IOException)) {
-			log.error("a connection to {} failed", this.address, cause);
+			log.error("Connection to {} failed", this.address, cause);
 		}
-		// A reset: an answer that ends with its connection must not count as whole.
-		fail(this.headSeen ? CallFailure.BROKEN_ANSWER : CallFailure.NO_ANSWER);
+		// After a reset, a response delimited by the end of its connection must not count
+		// as complete.
+		fail(this.headReceived ? CallFailure.BROKEN_ANSWER : CallFailure.NO_ANSWER);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnections.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnections.java
@@ -21,21 +21,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Kept connections to endpoints and to the platform, one request at a time on each.
+ * A pool of connections to endpoints and to the platform, each with one request at a
+ * time.
  * <p>
- * The newest idle connection is used first, so that the rest grow old and close; one that
- * went silent is least likely to be the newest.
+ * The most recently used idle connection is reused first: it is the least likely to be
+ * dead, and the others can expire.
  */
 public final class ClientConnections {
 
 	/**
-	 * Idle seconds before the first keep-alive probe, its gap and count: dead after 3 s.
+	 * TCP keep-alive probes, with the interval and count below, detect a dead peer after
+	 * 3 s.
 	 */
-	private static final int PROBE_AFTER_SECONDS = 1;
+	private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
-	private static final int PROBE_GAP_SECONDS = 1;
+	private static final int KEEP_ALIVE_PROBE_INTERVAL_SECONDS = 1;
 
-	private static final int PROBES = 2;
+	private static final int KEEP_ALIVE_PROBE_COUNT = 2;
 
 	private static final int MAXIMUM_HEADER_BYTES = 64 * 1024;
 
@@ -47,14 +49,14 @@
 
 	private final SteadyClock clock;
 
-	private final Map<InetSocketAddress, Deque<ClientConnection>> idle = new HashMap<>();
+	private final Map<InetSocketAddress, Deque<ClientConnection>> idleConnections = new HashMap<>();
 
-	private final Map<InetSocketAddress, Integer> open = new HashMap<>();
+	private final Map<InetSocketAddress, Integer> openConnections = new HashMap<>();
 
 	/**
-	 * Creates the connections.
-	 * @param eventLoop the loop that serves them
-	 * @param clock the steady clock
+	 * Creates an empty pool.
+	 * @param eventLoop the event loop that serves the connections
+	 * @param clock the monotonic clock
 	 */
 	public ClientConnections(EventLoop eventLoop, SteadyClock clock) {
 		this.eventLoop = eventLoop;
@@ -62,21 +64,22 @@
 	}
 
 	/**
-	 * Makes a call. The listener is called on the event loop, never during this method.
-	 * @param address where to call
-	 * @param request the request, which is released once it was written
-	 * @param options how to use connections
-	 * @param listener receives the answer
+	 * Sends a request. The listener is called on the event loop, never from within this
+	 * method.
+	 * @param address the server address
+	 * @param request the request, whose reference is released when the call ends
+	 * @param options the connection options
+	 * @param listener receives the response
 	 * @return the call
 	 */
 	public ClientCall call(InetSocketAddress address, FullHttpRequest request, CallOptions options,
 			AnswerListener listener) {
 		ClientCall call = new ClientCall(request, listener);
-		ClientConnection kept = takeIdle(address, options);
-		if (kept != null) {
-			kept.begin(call);
+		ClientConnection pooled = acquireIdle(address, options);
+		if (pooled != null) {
+			pooled.send(call);
 		}
-		else if (this.open.getOrDefault(address, 0) >= options.maximumConnections()) {
+		else if (this.openConnections.getOrDefault(address, 0) >= options.maximumConnections()) {
 			this.eventLoop.execute(() -> call.failed(CallFailure.NOT_SENT));
 		}
 		else {
@@ -86,21 +89,21 @@
 	}
 
 	/**
-	 * Closes the idle connections to an address, whose owner may have changed.
+	 * Closes the idle connections to an address that may have been reassigned.
 	 * @param address the address
 	 */
 	public void closeIdle(InetSocketAddress address) {
-		Deque<ClientConnection> connections = this.idle.remove(address);
+		Deque<ClientConnection> connections = this.idleConnections.remove(address);
 		if (connections != null) {
 			connections.forEach(ClientConnection::close);
 		}
 	}
 
-	private @Nullable ClientConnection takeIdle(InetSocketAddress address, CallOptions options) {
-		Deque<ClientConnection> connections = this.idle.get(address);
+	private @Nullable ClientConnection acquireIdle(InetSocketAddress address, CallOptions options) {
+		Deque<ClientConnection> connections = this.idleConnections.get(address);
 		while (connections != null && !connections.isEmpty()) {
 			ClientConnection newest = connections.pop();
-			if (newest.usable(this.clock.nanos(), options.maximumIdle().toNanos())) {
+			if (newest.isUsable(this.clock.nanos(), options.maximumIdleTime().toNanos())) {
 				return newest;
 			}
 			newest.close();
@@ -109,14 +112,14 @@
 	}
 
 	private void connect(InetSocketAddress address, CallOptions options, ClientCall call) {
-		this.open.merge(address, 1, Integer::sum);
+		this.openConnections.merge(address, 1, Integer::sum);
 		Bootstrap bootstrap = new Bootstrap().group(this.eventLoop)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.option(ChannelOption.SO_KEEPALIVE, true)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_SECONDS)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_GAP_SECONDS)
-			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_IDLE_SECONDS)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEP_ALIVE_PROBE_INTERVAL_SECONDS)
+			.option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBE_COUNT)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.toIntExact(options.connectTimeout().toMillis()))
 			.handler(new ChannelInitializer<Channel>() {
 				@Override
@@ -127,38 +130,40 @@
 						.addLast(new ClientConnection(ClientConnections.this, address, channel));
 				}
 			});
-		ChannelFuture connecting = bootstrap.connect(address);
-		connecting.channel().closeFuture().addListener((closed) -> this.open.merge(address, -1, Integer::sum));
-		connecting.addListener((done) -> {
-			if (!done.isSuccess()) {
+		ChannelFuture connectFuture = bootstrap.connect(address);
+		connectFuture.channel()
+			.closeFuture()
+			.addListener((future) -> this.openConnections.merge(address, -1, Integer::sum));
+		connectFuture.addListener((future) -> {
+			if (!future.isSuccess()) {
 				call.failed(CallFailure.NOT_SENT);
 				return;
 			}
-			ClientConnection connection = connecting.channel().pipeline().get(ClientConnection.class);
+			ClientConnection connection = connectFuture.channel().pipeline().get(ClientConnection.class);
 			if (call.ended()) {
-				keep(connection);
+				release(connection);
 			}
-			else if (!call.mayBegin()) {
-				keep(connection);
+			else if (!call.maySend()) {
+				release(connection);
 				call.failed(CallFailure.WITHDRAWN);
 			}
 			else {
-				connection.begin(call);
+				connection.send(call);
 			}
 		});
 	}
 
-	void keep(ClientConnection connection) {
+	void release(ClientConnection connection) {
 		connection.idleSince(this.clock.nanos());
-		this.idle.computeIfAbsent(connection.address(), (key) -> new ArrayDeque<>()).push(connection);
+		this.idleConnections.computeIfAbsent(connection.address(), (key) -> new ArrayDeque<>()).push(connection);
 	}
 
-	void closed(ClientConnection connection) {
-		Deque<ClientConnection> connections = this.idle.get(connection.address());
+	void removeIdle(ClientConnection connection) {
+		Deque<ClientConnection> connections = this.idleConnections.get(connection.address());
 		if (connections != null) {
 			connections.remove(connection);
 			if (connections.isEmpty()) {
-				this.idle.remove(connection.address());
+				this.idleConnections.remove(connection.address());
 			}
 		}
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/DrainPhase.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/DrainPhase.java
@@ -1,17 +1,17 @@
 package org.banyancove.gateway.exchange;
 
 /**
- * Which requests a gateway takes, from its start to the end of its stop.
+ * The requests that a gateway accepts, from its start to the end of its shutdown.
  */
 public enum DrainPhase {
 
-	/** All. */
+	/** All requests. */
 	ALL,
 
-	/** Those that end soon; a stream could outlast the process. */
+	/** Non-streaming requests only: a stream could outlast the process. */
 	SHORT_ONES,
 
-	/** None: whatever is taken now could be cut off. */
+	/** No requests: one accepted now could be interrupted by the end of the process. */
 	NONE
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/AnswerHeaders.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/EndToEndHeaders.java
@@ -9,27 +9,27 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Copies headers from one connection to the next, without those that concern one only.
+ * Copies the end-to-end headers of a message and omits the hop-by-hop ones.
  */
-final class AnswerHeaders {
+final class EndToEndHeaders {
 
-	private static final Set<String> ONE_CONNECTION = Set.of("connection", "keep-alive", "proxy-connection",
+	private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade", "expect",
 			"content-length");
 
-	private AnswerHeaders() {
+	private EndToEndHeaders() {
 	}
 
 	static void copy(HttpHeaders from, HttpHeaders to) {
-		Set<String> named = new HashSet<>();
+		Set<String> connectionOptions = new HashSet<>();
 		for (String value : from.getAll(HttpHeaderNames.CONNECTION)) {
 			for (String name : value.split(",")) {
-				named.add(name.trim().toLowerCase(Locale.ROOT));
+				connectionOptions.add(name.trim().toLowerCase(Locale.ROOT));
 			}
 		}
 		for (Map.Entry<String, String> header : from) {
 			String name = header.getKey().toLowerCase(Locale.ROOT);
-			if (!ONE_CONNECTION.contains(name) && !named.contains(name)) {
+			if (!HOP_BY_HOP.contains(name) && !connectionOptions.contains(name)) {
 				to.add(header.getKey(), header.getValue());
 			}
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/FailureAnswer.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ErrorResponse.java
@@ -14,23 +14,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The answers that the gateway gives itself when a request fails.
+ * Creates the error responses that the gateway itself produces.
  */
-final class FailureAnswer {
+final class ErrorResponse {
 
-	private FailureAnswer() {
+	private ErrorResponse() {
 	}
 
 	static FullHttpResponse of(ErrorKind kind, @Nullable Duration retryAfter) {
 		byte[] body = ("{\"error\":\"" + kind.code() + "\"}").getBytes(StandardCharsets.US_ASCII);
-		FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
 				HttpResponseStatus.valueOf(kind.status()), Unpooled.wrappedBuffer(body));
-		answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+		response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
 		if (retryAfter != null) {
-			answer.headers()
+			response.headers()
 				.set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfter.toMillis() / 1e3));
 		}
-		return answer;
+		return response;
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
@@ -34,35 +34,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One caller's request, from its arrival to the end of its answer.
+ * The processing of one request, from its arrival to the end of its response.
  * <p>
- * A request that may have run is sent again only where its route allows repeating it. It
- * is answered "not run" only if no endpoint ever had a byte of it, or each that had it
- * stated so.
+ * A request that may have run is retried only if its route is repeatable. It is reported
+ * as not run only if no endpoint received a byte of it, or each endpoint that did stated
+ * that it had not run it.
  */
-final class Exchange implements ResponseSubscription {
+final class Exchange implements InFlightRequest {
 
-	/** How often a request looks again while there is no endpoint. */
+	/** The interval at which placement is retried while no endpoint is available. */
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(40);
 
-	/** How often a request looks whether the endpoints have been read again. */
+	/** The interval at which placement is retried while the endpoints are outdated. */
 	private static final Duration REFRESH_POLL_INTERVAL = Duration.ofMillis(10);
 
 	/**
-	 * From an answer's deadline to giving it up: an endpoint's last word is on its way.
+	 * The grace period after the deadline, for a response that is still in transit.
 	 */
 	private static final Duration RESPONSE_GRACE = Duration.ofMillis(120);
 
-	/** A kept connection that has been idle for longer may have gone silent. */
-	private static final Duration MAXIMUM_IDLE = Duration.ofSeconds(10);
+	/** A pooled connection that has been idle for longer may be dead. */
+	private static final Duration MAXIMUM_IDLE_TIME = Duration.ofSeconds(10);
 
-	/** The same for a request that cannot be sent again if the connection was dead. */
-	private static final Duration MAXIMUM_IDLE_ONCE = Duration.ofSeconds(2);
+	/** A non-repeatable request cannot be retried if its connection turns out dead. */
+	private static final Duration MAXIMUM_IDLE_TIME_NON_REPEATABLE = Duration.ofSeconds(2);
 
-	/** The time after which a request is retried that an endpoint rejected unrun. */
+	/** The retry delay reported to the caller of a request that was not run. */
 	private static final Duration RETRY_AFTER = Duration.ofMillis(400);
 
-	private final RequestFlow flow;
+	private final RequestFlow dispatcher;
 
 	private final CallerConnection caller;
 
@@ -78,25 +78,25 @@
 
 	private final String requestId;
 
-	private final long version;
+	private final long configurationVersion;
 
 	private final long deadlineAt;
 
-	private final Set<EndpointId> tried = new HashSet<>();
+	private final Set<EndpointId> triedEndpoints = new HashSet<>();
 
-	private final EventSplitter events;
+	private final SseEventSplitter eventSplitter;
 
-	private final double draw;
+	private final double versionDraw;
 
 	private int attempts;
 
 	private boolean mayHaveRun;
 
-	private boolean firstTokenSeen;
+	private boolean usageRecorded;
 
 	private boolean ended;
 
-	private @Nullable Attempt attempt;
+	private @Nullable Attempt currentAttempt;
 
 	private @Nullable Long firstByteAt;
 
@@ -104,11 +104,11 @@
 
 	private @Nullable ScheduledFuture<?> responseTimer;
 
-	private @Nullable ScheduledFuture<?> waitTimer;
+	private @Nullable ScheduledFuture<?> placementTimer;
 
-	Exchange(RequestFlow flow, CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
+	Exchange(RequestFlow dispatcher, CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
 			RoutingDecision.Accepted accepted) {
-		this.flow = flow;
+		this.dispatcher = dispatcher;
 		this.caller = caller;
 		this.request = request;
 		this.requestHeaders = requestHeaders;
@@ -116,19 +116,19 @@
 		this.service = accepted.service();
 		this.account = accepted.account();
 		this.requestId = String.valueOf(requestHeaders.requestId());
-		this.version = flow.version();
-		Duration wait = this.route.timeout();
-		if (requestHeaders.deadline() != null && requestHeaders.deadline().compareTo(wait) < 0) {
-			wait = requestHeaders.deadline();
+		this.configurationVersion = dispatcher.configurationVersion();
+		Duration timeout = this.route.timeout();
+		if (requestHeaders.deadline() != null && requestHeaders.deadline().compareTo(timeout) < 0) {
+			timeout = requestHeaders.deadline();
 		}
-		this.deadlineAt = request.arrivedAt() + wait.toNanos();
-		this.events = new EventSplitter(requestHeaders.lastEvent());
-		this.draw = flow.draw();
+		this.deadlineAt = request.arrivedAt() + timeout.toNanos();
+		this.eventSplitter = new SseEventSplitter(requestHeaders.lastEvent());
+		this.versionDraw = dispatcher.nextRandom();
 	}
 
 	void begin() {
-		long left = this.deadlineAt - now() + RESPONSE_GRACE.toNanos();
-		this.deadlineTimer = schedule(this::deadlinePassed, left);
+		long timeoutNanos = this.deadlineAt - now() + RESPONSE_GRACE.toNanos();
+		this.deadlineTimer = schedule(this::deadlineExceeded, timeoutNanos);
 		place();
 	}
 
@@ -136,16 +136,16 @@
 		if (this.ended) {
 			return;
 		}
-		if (!this.flow.endpointsCurrent()) {
-			this.waitTimer = schedule(this::place, REFRESH_POLL_INTERVAL.toNanos());
+		if (!this.dispatcher.endpointsCurrent()) {
+			this.placementTimer = schedule(this::place, REFRESH_POLL_INTERVAL.toNanos());
 			return;
 		}
-		Placement placement = this.flow.placement().choose(eligible(), prompt(), this.tried, now());
+		Placement placement = this.dispatcher.placement().choose(eligible(), prompt(), this.triedEndpoints, now());
 		if (placement == null) {
-			Duration rateLimited = (this.attempts == 0)
-					? this.flow.placement().rateLimitedFor(eligible(), this.tried, now()) : null;
-			if (rateLimited != null) {
-				reject(ErrorKind.OVERLOADED, this.flow.admission().retryAfter(rateLimited));
+			Duration rateLimitDelay = (this.attempts == 0)
+					? this.dispatcher.placement().rateLimitedFor(eligible(), this.triedEndpoints, now()) : null;
+			if (rateLimitDelay != null) {
+				reject(ErrorKind.OVERLOADED, this.dispatcher.admission().retryAfter(rateLimitDelay));
 			}
 			else {
 				waitForEndpoint();
@@ -153,10 +153,10 @@
 			return;
 		}
 		if (this.attempts == 0) {
-			this.flow.meteredBy()
+			this.dispatcher.meters()
 				.work()
 				.add(this.service.name(), placement.endpoint().workMillis(placement.prefillTokens()), now());
-			Duration retryAfter = this.flow.admission()
+			Duration retryAfter = this.dispatcher.admission()
 				.retryAfter(this.route, Duration.ofNanos((long) (placement.predictedMillis() * 1e6)), elapsed(),
 						remaining());
 			if (!retryAfter.isZero()) {
@@ -167,37 +167,38 @@
 		send(placement);
 	}
 
-	// A request that was sent before goes to a proven version.
+	// Retries go to a version that has proved stable.
 	private List<Endpoint> eligible() {
-		boolean endsWithEndpoint = this.route.kind() == RouteKind.STREAMING && !this.route.resumable();
+		boolean boundToEndpoint = this.route.kind() == RouteKind.STREAMING && !this.route.resumable();
 		return (this.attempts == 0)
-				? this.flow.endpoints().forRequest(this.service.name(), endsWithEndpoint, this.draw, now())
-				: this.flow.endpoints().serving(this.service.name(), now());
+				? this.dispatcher.endpoints().forRequest(this.service.name(), boundToEndpoint, this.versionDraw, now())
+				: this.dispatcher.endpoints().serving(this.service.name(), now());
 	}
 
 	private void waitForEndpoint() {
-		boolean mayWait = elapsed().compareTo(this.flow.admission().maximumWait(this.route, remaining())) < 0;
+		boolean mayWait = elapsed().compareTo(this.dispatcher.admission().maximumWait(this.route, remaining())) < 0;
 		if (mayWait && this.attempts == 0) {
-			this.tried.clear();
-			this.waitTimer = schedule(this::place, POLL_INTERVAL.toNanos());
+			this.triedEndpoints.clear();
+			this.placementTimer = schedule(this::place, POLL_INTERVAL.toNanos());
 		}
 		else {
-			endWithout(ErrorKind.NO_ENDPOINT);
+			endWithError(ErrorKind.NO_ENDPOINT);
 		}
 	}
 
 	private void send(Placement placement) {
 		this.attempts++;
-		this.tried.add(placement.endpoint().id());
-		Attempt next = new Attempt(this, placement, this.attempts, now());
-		this.attempt = next;
-		rollouts().sent(this.service.name(), this.route.name(), version(next));
-		boolean once = !this.route.repeatable();
-		CallOptions options = new CallOptions(this.flow.admission().connectTimeout(this.route),
-				once ? MAXIMUM_IDLE_ONCE : MAXIMUM_IDLE, this.flow.connectionShare(this.service));
-		next.started(this.flow.connections()
-			.call(placement.endpoint().entry().address(), endpointRequest(placement), options, next));
-		watchResponse(this.flow.admission().responseTimeout(this.route));
+		this.triedEndpoints.add(placement.endpoint().id());
+		Attempt newAttempt = new Attempt(this, placement, this.attempts, now());
+		this.currentAttempt = newAttempt;
+		rollouts().sent(this.service.name(), this.route.name(), version(newAttempt));
+		boolean nonRepeatable = !this.route.repeatable();
+		CallOptions options = new CallOptions(this.dispatcher.admission().connectTimeout(this.route),
+				nonRepeatable ? MAXIMUM_IDLE_TIME_NON_REPEATABLE : MAXIMUM_IDLE_TIME,
+				this.dispatcher.maximumConnections(this.service));
+		newAttempt.callStarted(this.dispatcher.connections()
+			.call(placement.endpoint().entry().address(), endpointRequest(placement), options, newAttempt));
+		startResponseTimer(this.dispatcher.admission().responseTimeout(this.route));
 	}
 
 	private FullHttpRequest endpointRequest(Placement placement) {
@@ -205,265 +206,266 @@
 		FullHttpRequest copy = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, this.request.head().method(),
 				this.request.head().uri(), body);
 		HttpHeaders headers = copy.headers();
-		AnswerHeaders.copy(this.request.head().headers(), headers);
+		EndToEndHeaders.copy(this.request.head().headers(), headers);
 		headers.names().stream().filter((name) -> !headerCodec().passesOn(name)).toList().forEach(headers::remove);
 		if (body.isReadable() || this.request.head().headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
 			headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
 		}
-		headerCodec().writeCall(headers,
-				new EndpointCall(placement.endpoint().id(), remaining(),
-						(this.account != null) ? this.account.name() : null, urgency(), this.events.lastEvent(),
-						(placement.prefixSource() != null) ? placement.prefixSource().entry().address() : null));
+		headerCodec().writeCall(headers, new EndpointCall(placement.endpoint().id(), remaining(),
+				(this.account != null) ? this.account.name() : null, priority(), this.eventSplitter.lastEventId(),
+				(placement.prefixSource() != null) ? placement.prefixSource().entry().address() : null));
 		return copy;
 	}
 
-	private @Nullable Integer urgency() {
+	private @Nullable Integer priority() {
 		if (!this.service.generatesTokens()) {
 			return null;
 		}
-		Integer ofAccount = (this.account != null) ? this.account.priority() : null;
-		return Math.clamp((ofAccount != null) ? ofAccount : this.route.priority(), 0, 9);
+		Integer accountPriority = (this.account != null) ? this.account.priority() : null;
+		return Math.clamp((accountPriority != null) ? accountPriority : this.route.priority(), 0, 9);
 	}
 
-	// A connection may take as long as is left of an endpoint's drain time.
+	// Establishing a connection may take as long as the rest of an endpoint's drain time.
 	boolean maySend(Endpoint endpoint) {
-		return this.flow.endpointsCurrent() && this.flow.endpoints().accepts(endpoint);
+		return this.dispatcher.endpointsCurrent() && this.dispatcher.endpoints().accepts(endpoint);
 	}
 
-	void rateLimited(Endpoint endpoint, @Nullable Double requestsPerSecond) {
+	void updateRateLimit(Endpoint endpoint, @Nullable Double requestsPerSecond) {
 		if (endpoint.rateLimiter().observe(requestsPerSecond, now(), now())) {
-			this.flow.requestLog().rateLimitChanged(endpoint.id(), requestsPerSecond);
+			this.dispatcher.requestLog().rateLimitChanged(endpoint.id(), requestsPerSecond);
 		}
 	}
 
-	boolean streams(Attempt from) {
-		return this.route.kind() == RouteKind.STREAMING && from.responseHeaders().sealed()
-				&& from.answerHead().status().equals(HttpResponseStatus.OK);
+	boolean isStreaming(Attempt attempt) {
+		return this.route.kind() == RouteKind.STREAMING && attempt.responseHeaders().sealed()
+				&& attempt.responseHead().status().equals(HttpResponseStatus.OK);
 	}
 
-	void streamed(Attempt from, ByteBuf content) {
-		byte[] whole;
+	void forwardEvents(Attempt attempt, ByteBuf content) {
+		byte[] completeEvents;
 		try {
-			whole = this.events.read(content);
+			completeEvents = this.eventSplitter.read(content);
 		}
 		catch (IllegalStateException ex) {
-			from.cancel();
-			failed(from, CallFailure.UNREADABLE);
+			attempt.cancel();
+			failed(attempt, CallFailure.UNREADABLE);
 			return;
 		}
-		if (whole.length == 0) {
+		if (completeEvents.length == 0) {
 			return;
 		}
-		from.event();
-		recordFirstToken();
-		openStream(from);
-		this.caller.stream(whole);
-		watchResponse(this.flow.admission().streamTimeout(this.route));
+		attempt.eventReceived();
+		recordUsage();
+		startStream(attempt);
+		this.caller.writeContent(completeEvents);
+		startResponseTimer(this.dispatcher.admission().streamTimeout(this.route));
 	}
 
-	private void openStream(Attempt from) {
+	private void startStream(Attempt attempt) {
 		if (this.caller.streaming()) {
 			return;
 		}
 		this.firstByteAt = now();
-		HttpResponse start = new DefaultHttpResponse(HttpVersion.HTTP_1_1, from.answerHead().status());
-		AnswerHeaders.copy(from.answerHead().headers(), start.headers());
+		HttpResponse start = new DefaultHttpResponse(HttpVersion.HTTP_1_1, attempt.responseHead().status());
+		EndToEndHeaders.copy(attempt.responseHead().headers(), start.headers());
 		this.caller.beginStream(start);
 	}
 
-	void completed(Attempt from) {
+	void completed(Attempt attempt) {
 		if (this.ended) {
 			return;
 		}
-		if (streams(from)) {
-			if (!this.events.clean()) {
-				failed(from, CallFailure.BROKEN_ANSWER);
+		if (isStreaming(attempt)) {
+			if (!this.eventSplitter.isAtEventBoundary()) {
+				failed(attempt, CallFailure.BROKEN_ANSWER);
 				return;
 			}
-			from.endpoint().answered(true, now());
-			rollouts().answered(this.service.name(), this.route.name(), version(from), from.times());
-			openStream(from);
+			attempt.endpoint().answered(true, now());
+			rollouts().answered(this.service.name(), this.route.name(), version(attempt), attempt.responseTimes());
+			startStream(attempt);
 			this.caller.endStream();
-			end("answered", from.answerHead().status().code());
+			end("answered", attempt.responseHead().status().code());
 			return;
 		}
-		judge(from);
+		evaluate(attempt);
 	}
 
-	private void judge(Attempt from) {
-		HttpResponseStatus status = from.answerHead().status();
-		if (from.responseHeaders().notRun() || status.equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
-			rejectedUnrun(from, status);
+	private void evaluate(Attempt attempt) {
+		HttpResponseStatus status = attempt.responseHead().status();
+		if (attempt.responseHeaders().notRun() || status.equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
+			handleNotRun(attempt, status);
 			return;
 		}
 		this.mayHaveRun = true;
-		recordFirstToken();
+		recordUsage();
 		boolean success = status.code() >= 200 && status.code() < 300;
-		boolean sound = success ? from.responseHeaders().sealed() : status.code() < 500;
-		from.endpoint().answered(sound, now());
-		if (sound && success) {
-			from.endpoint().plainAnswer(from.elapsed());
+		boolean valid = success ? attempt.responseHeaders().sealed() : status.code() < 500;
+		attempt.endpoint().answered(valid, now());
+		if (valid && success) {
+			attempt.endpoint().plainAnswer(attempt.elapsed());
 		}
-		if (sound) {
-			rollouts().answered(this.service.name(), this.route.name(), version(from), from.times());
+		if (valid) {
+			rollouts().answered(this.service.name(), this.route.name(), version(attempt), attempt.responseTimes());
 		}
 		else {
-			rollouts().failed(this.service.name(), this.route.name(), version(from));
+			rollouts().failed(this.service.name(), this.route.name(), version(attempt));
 		}
-		if (sound) {
-			deliver(from);
+		if (valid) {
+			forwardResponse(attempt);
 			return;
 		}
-		this.flow.requestLog()
-			.attemptFailed(from.facts(), "status " + status.code() + " sealed " + from.responseHeaders().sealed());
-		if (trySendAgain()) {
+		this.dispatcher.requestLog()
+			.attemptFailed(attempt.describe(),
+					"status " + status.code() + " sealed " + attempt.responseHeaders().sealed());
+		if (retryIfAllowed()) {
 			return;
 		}
-		if (success || promisesNotRun(status)) {
-			endWithout(ErrorKind.ENDPOINT_FAILED);
+		if (success || impliesNotRun(status)) {
+			endWithError(ErrorKind.ENDPOINT_FAILED);
 		}
 		else {
-			deliver(from);
+			forwardResponse(attempt);
 		}
 	}
 
-	// These statuses would tell the caller that the request did not run.
-	private static boolean promisesNotRun(HttpResponseStatus status) {
+	// These statuses would tell the caller that the request was not run.
+	private static boolean impliesNotRun(HttpResponseStatus status) {
 		return switch (status.code()) {
 			case 408, 421, 429, 503 -> true;
 			default -> false;
 		};
 	}
 
-	private void rejectedUnrun(Attempt from, HttpResponseStatus status) {
-		this.flow.requestLog().attemptFailed(from.facts(), "not run, status " + status.code());
+	private void handleNotRun(Attempt attempt, HttpResponseStatus status) {
+		this.dispatcher.requestLog().attemptFailed(attempt.describe(), "not run, status " + status.code());
 		if (status.equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
-			// Another endpoint has the address; the one that was meant is gone.
-			from.endpoint().unreachable(now());
-			this.flow.connections().closeIdle(from.endpoint().entry().address());
+			// The address now belongs to another endpoint; the intended one is gone.
+			attempt.endpoint().unreachable(now());
+			this.dispatcher.connections().closeIdle(attempt.endpoint().entry().address());
 		}
 		if (status.equals(HttpResponseStatus.BAD_REQUEST)) {
-			deliver(from);
+			forwardResponse(attempt);
 			return;
 		}
-		if (!trySendAgain()) {
-			endWithout(ErrorKind.OVERLOADED);
+		if (!retryIfAllowed()) {
+			endWithError(ErrorKind.OVERLOADED);
 		}
 	}
 
-	private void deliver(Attempt from) {
+	private void forwardResponse(Attempt attempt) {
 		if (this.caller.streaming()) {
 			end("stream not resumed", 0);
 			this.caller.abort();
 			return;
 		}
 		this.firstByteAt = now();
-		FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, from.answerHead().status(),
-				from.body());
-		AnswerHeaders.copy(from.answerHead().headers(), answer.headers());
-		end("answered", answer.status().code());
-		this.caller.answer(answer);
+		FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, attempt.responseHead().status(),
+				attempt.body());
+		EndToEndHeaders.copy(attempt.responseHead().headers(), response.headers());
+		end("answered", response.status().code());
+		this.caller.respond(response);
 	}
 
-	void failed(Attempt from, CallFailure failure) {
+	void failed(Attempt attempt, CallFailure failure) {
 		if (this.ended) {
 			return;
 		}
-		this.flow.requestLog().attemptFailed(from.facts(), failure.name());
+		this.dispatcher.requestLog().attemptFailed(attempt.describe(), failure.name());
 		if (!failure.mayHaveRun()) {
 			this.attempts--;
 			if (failure == CallFailure.NOT_SENT) {
-				from.endpoint().unreachable(now());
+				attempt.endpoint().unreachable(now());
 			}
 			place();
 			return;
 		}
 		this.mayHaveRun = true;
 		if (this.route.kind() != RouteKind.STREAMING) {
-			recordFirstToken();
+			recordUsage();
 		}
-		from.endpoint().failed(now());
-		rollouts().failed(this.service.name(), this.route.name(), version(from));
-		this.events.restart();
-		if (trySendAgain()) {
+		attempt.endpoint().failed(now());
+		rollouts().failed(this.service.name(), this.route.name(), version(attempt));
+		this.eventSplitter.discardPartialEvent();
+		if (retryIfAllowed()) {
 			return;
 		}
-		endWithout(ErrorKind.ENDPOINT_FAILED);
+		endWithError(ErrorKind.ENDPOINT_FAILED);
 	}
 
-	private boolean trySendAgain() {
+	private boolean retryIfAllowed() {
 		boolean allowed = (!this.mayHaveRun || this.route.repeatable()) && this.attempts < this.route.maxAttempts();
-		if (!allowed || !remaining().isPositive() || !this.flow.budget(this.service.name()).tryRetry()) {
+		if (!allowed || !remaining().isPositive() || !this.dispatcher.retryBudget(this.service.name()).tryRetry()) {
 			return false;
 		}
 		place();
 		return true;
 	}
 
-	private void recordFirstToken() {
-		if (!this.firstTokenSeen && this.account != null) {
-			this.firstTokenSeen = true;
-			this.flow.meteredBy().usage().recordStart(this.account.name(), this.flow.wallClock().instant());
+	private void recordUsage() {
+		if (!this.usageRecorded && this.account != null) {
+			this.usageRecorded = true;
+			this.dispatcher.meters().usage().recordStart(this.account.name(), this.dispatcher.wallClock().instant());
 		}
 	}
 
-	private void watchResponse(Duration longest) {
+	private void startResponseTimer(Duration timeout) {
 		cancel(this.responseTimer);
 		this.responseTimer = null;
 		if (this.route.repeatable() && this.attempts < this.route.maxAttempts()) {
-			this.responseTimer = schedule(this::responseTimedOut, longest.toNanos());
+			this.responseTimer = schedule(this::responseTimedOut, timeout.toNanos());
 		}
 	}
 
 	private void responseTimedOut() {
-		Attempt current = this.attempt;
-		if (this.ended || current == null || this.flow.budget(this.service.name()).left() < 1) {
+		Attempt current = this.currentAttempt;
+		if (this.ended || current == null || this.dispatcher.retryBudget(this.service.name()).left() < 1) {
 			return;
 		}
 		current.cancel();
 		failed(current, CallFailure.NO_ANSWER);
 	}
 
-	private void deadlinePassed() {
-		giveUpAttempt();
-		endWithout(ErrorKind.OUTCOME_UNKNOWN);
+	private void deadlineExceeded() {
+		cancelAttempt();
+		endWithError(ErrorKind.OUTCOME_UNKNOWN);
 	}
 
 	@Override
-	public void callerLeft() {
+	public void callerDisconnected() {
 		if (this.ended) {
 			return;
 		}
-		giveUpAttempt();
+		cancelAttempt();
 		end("caller left", 0);
 	}
 
-	// An endpoint that is cut off would get request after request until its entry lapses,
-	// if silence until the end did not count as a failure.
-	private void giveUpAttempt() {
-		Attempt current = this.attempt;
+	// A missing response counts as a failure: otherwise an endpoint behind a network
+	// partition would be sent one request after another until its entry expires.
+	private void cancelAttempt() {
+		Attempt current = this.currentAttempt;
 		if (current == null) {
 			return;
 		}
 		current.cancel();
-		if (current.unanswered()
-				&& current.elapsed().compareTo(this.flow.admission().responseTimeout(this.route)) > 0) {
-			this.flow.requestLog().attemptFailed(current.facts(), "no answer until the request was given up");
+		if (current.awaitingResponse()
+				&& current.elapsed().compareTo(this.dispatcher.admission().responseTimeout(this.route)) > 0) {
+			this.dispatcher.requestLog()
+				.attemptFailed(current.describe(), "no response before the request was cancelled");
 			current.endpoint().failed(now());
 			rollouts().failed(this.service.name(), this.route.name(), version(current));
 		}
 	}
 
 	private RolloutTable rollouts() {
-		return this.flow.endpoints().rollouts();
+		return this.dispatcher.endpoints().rollouts();
 	}
 
 	private static String version(Attempt attempt) {
 		return attempt.endpoint().entry().version();
 	}
 
-	// Ends a request that gets no endpoint's answer.
-	private void endWithout(ErrorKind kind) {
+	// Ends a request for which no endpoint response can be forwarded.
+	private void endWithError(ErrorKind kind) {
 		if (this.ended) {
 			return;
 		}
@@ -472,11 +474,11 @@
 			this.caller.abort();
 			return;
 		}
-		boolean sent = this.mayHaveRun || (kind == ErrorKind.OUTCOME_UNKNOWN && this.attempts > 0);
-		if (sent) {
+		boolean outcomeUnknown = this.mayHaveRun || (kind == ErrorKind.OUTCOME_UNKNOWN && this.attempts > 0);
+		if (outcomeUnknown) {
 			ErrorKind reported = (kind == ErrorKind.OUTCOME_UNKNOWN) ? kind : ErrorKind.ENDPOINT_FAILED;
 			end(reported.code(), reported.status());
-			this.caller.answer(FailureAnswer.of(reported, null));
+			this.caller.respond(ErrorResponse.of(reported, null));
 		}
 		else {
 			reject((kind == ErrorKind.OUTCOME_UNKNOWN) ? ErrorKind.NO_ENDPOINT : kind, RETRY_AFTER);
@@ -485,21 +487,21 @@
 
 	private void reject(ErrorKind kind, Duration retryAfter) {
 		end(kind.code(), kind.status());
-		this.caller.answer(FailureAnswer.of(kind, retryAfter));
+		this.caller.respond(ErrorResponse.of(kind, retryAfter));
 	}
 
 	private void end(String outcome, int status) {
 		this.ended = true;
 		cancel(this.deadlineTimer);
 		cancel(this.responseTimer);
-		cancel(this.waitTimer);
-		this.flow.ended();
-		Duration untilFirst = (this.firstByteAt != null) ? Duration.ofNanos(this.firstByteAt - this.request.arrivedAt())
-				: null;
-		String endpoint = (this.attempt != null) ? this.attempt.endpoint().id().value() : null;
-		this.flow.requestLog()
+		cancel(this.placementTimer);
+		this.dispatcher.ended();
+		Duration timeToFirstByte = (this.firstByteAt != null)
+				? Duration.ofNanos(this.firstByteAt - this.request.arrivedAt()) : null;
+		String endpoint = (this.currentAttempt != null) ? this.currentAttempt.endpoint().id().value() : null;
+		this.dispatcher.requestLog()
 			.ended(new RequestLog.RequestFacts(this.requestId, this.route.name(), outcome, status, endpoint,
-					this.attempts, untilFirst, elapsed(), this.version));
+					this.attempts, timeToFirstByte, elapsed(), this.configurationVersion));
 	}
 
 	String requestId() {
@@ -507,7 +509,7 @@
 	}
 
 	HeaderCodec headerCodec() {
-		return this.flow.headerCodec();
+		return this.dispatcher.headerCodec();
 	}
 
 	Prompt prompt() {
@@ -515,7 +517,7 @@
 	}
 
 	long now() {
-		return this.flow.clock().nanos();
+		return this.dispatcher.clock().nanos();
 	}
 
 	private Duration elapsed() {
@@ -527,7 +529,7 @@
 	}
 
 	private ScheduledFuture<?> schedule(Runnable action, long nanos) {
-		return this.flow.eventLoop().schedule(action, Math.max(0, nanos), TimeUnit.NANOSECONDS);
+		return this.dispatcher.eventLoop().schedule(action, Math.max(0, nanos), TimeUnit.NANOSECONDS);
 	}
 
 	private static void cancel(@Nullable ScheduledFuture<?> timer) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ListeningSocket.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ListeningSocket.java
@@ -6,15 +6,16 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The socket on which callers' connections arrive.
+ * Opens the server socket for callers.
  * <p>
- * It can be opened as a process's first act. Connections that arrive while the rest
- * starts wait in its queue; without it they are reset, and a caller has one more try at
- * most. This class uses nothing but the JDK, so that opening it takes a few ms.
+ * A process can open it before anything else. Connections that are established during
+ * startup wait in its backlog; without the socket they would be refused, and a caller
+ * retries at most once. This class uses nothing but the JDK, so that opening the socket
+ * takes only a few ms.
  */
 public final class ListeningSocket {
 
-	/** Connections that wait to be accepted; a full queue costs callers seconds. */
+	/** If the backlog is full, callers lose seconds before they can connect. */
 	private static final int BACKLOG = 1024;
 
 	private ListeningSocket() {
@@ -22,9 +23,9 @@
 
 	/**
 	 * Opens the socket.
-	 * @param address where to listen
+	 * @param address the address to bind
 	 * @return the socket, to be served by a {@link CallerServer}
-	 * @throws IOException if the address cannot be listened at
+	 * @throws IOException if the address cannot be bound
 	 */
 	public static ServerSocketChannel open(InetSocketAddress address) throws IOException {
 		ServerSocketChannel socket = ServerSocketChannel.open();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Meters.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Meters.java
@@ -4,10 +4,10 @@
 import org.banyancove.gateway.duty.UsageCounter;
 
 /**
- * What is counted of requests, beside logs and metrics.
+ * The meters of requests, apart from logs and metrics.
  *
- * @param usage the requests that began to run
- * @param work the engine time that requests need
+ * @param usage counts the requests that began to run, for each client account
+ * @param work estimates the engine time that requests need
  */
 public record Meters(UsageCounter usage, DemandEstimator work) {
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestFlow.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestFlow.java
@@ -31,21 +31,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Accepts callers' requests in and keeps what all of them share.
+ * Admits and routes the callers' requests, and holds the state that they share.
  */
 public final class RequestFlow {
 
 	/**
-	 * The part of the fleet's retry budget that is used, so that gateways that count
-	 * differently, or start anew, stay within it together.
+	 * The share of the fleet's retry budget in use. The remainder covers gateways that
+	 * have counted differently or restarted, so that all of them together stay within the
+	 * budget.
 	 */
-	private static final double SHARE_OF_BUDGET = 0.7;
+	private static final double RETRY_BUDGET_SHARE = 0.7;
 
 	/**
-	 * Requests that wait for the first configuration at most: a second's worth at a
-	 * gateway's greatest load.
+	 * The maximum number of requests that wait for the first configuration: one second of
+	 * requests at a gateway's peak load.
 	 */
-	private static final int MAXIMUM_HELD_REQUESTS = 256;
+	private static final int MAXIMUM_DEFERRED_REQUESTS = 256;
 
 	private final EventLoop eventLoop;
 
@@ -65,7 +66,7 @@
 
 	private final PlacementRule placement;
 
-	private final Meters meteredBy;
+	private final Meters meters;
 
 	private final RequestLog requestLog;
 
@@ -75,40 +76,40 @@
 
 	private final Map<AccountName, QuotaLimiter> quotaLimiters = new HashMap<>();
 
-	private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
+	private final Map<ServiceName, RetryBudget> retryBudgets = new HashMap<>();
 
-	private final List<HeldRequest> held = new ArrayList<>();
+	private final List<DeferredRequest> deferred = new ArrayList<>();
 
 	private @Nullable Configuration configuration;
 
-	private final Map<AccountName, Double> acceptedBefore = new HashMap<>();
+	private final Map<AccountName, Double> acceptedByRemovedLimiters = new HashMap<>();
 
-	private int gateways = 1;
+	private int gatewayCount = 1;
 
 	private double reachableShare = 1;
 
-	private DrainPhase phase = DrainPhase.ALL;
+	private DrainPhase drainPhase = DrainPhase.ALL;
 
 	private int inProgress;
 
 	/**
-	 * Creates the flow.
-	 * @param eventLoop the loop that everything runs on
-	 * @param clock the steady clock
-	 * @param wallClock the time of day
-	 * @param random chooses among a route's services
+	 * Creates the dispatcher.
+	 * @param eventLoop the event loop on which all requests are processed
+	 * @param clock the monotonic clock
+	 * @param wallClock the wall clock
+	 * @param random selects among the services of a route and the versions of a service
 	 * @param headerCodec reads and writes headers
 	 * @param connections the connections to endpoints
 	 * @param endpoints the endpoints
-	 * @param endpointsCurrent whether they are known recently enough
-	 * @param placement chooses among them
-	 * @param meteredBy counts what ran and what work it was
-	 * @param requestLog records what became of requests
-	 * @param retryLimits the fleet's retry budget
+	 * @param endpointsCurrent whether the endpoints are up to date
+	 * @param placement selects an endpoint
+	 * @param meters count the requests that ran and estimate their work
+	 * @param requestLog receives the outcomes of requests
+	 * @param retryLimits the retry limits of the fleet
 	 */
 	public RequestFlow(EventLoop eventLoop, SteadyClock clock, InstantSource wallClock, RandomGenerator random,
 			HeaderCodec headerCodec, ClientConnections connections, ServingEndpoints endpoints,
-			BooleanSupplier endpointsCurrent, PlacementRule placement, Meters meteredBy, RequestLog requestLog,
+			BooleanSupplier endpointsCurrent, PlacementRule placement, Meters meters, RequestLog requestLog,
 			RetryLimits retryLimits) {
 		this.eventLoop = eventLoop;
 		this.clock = clock;
@@ -119,31 +120,31 @@
 		this.endpoints = endpoints;
 		this.endpointsCurrent = endpointsCurrent;
 		this.placement = placement;
-		this.meteredBy = meteredBy;
+		this.meters = meters;
 		this.requestLog = requestLog;
 		this.retryLimits = retryLimits;
 	}
 
 	/**
-	 * Records a configuration.
-	 * @param newest the configuration
+	 * Applies a configuration and starts the requests that were deferred for it.
+	 * @param newConfiguration the configuration
 	 */
-	public void configure(Configuration newest) {
-		this.configuration = newest;
+	public void configure(Configuration newConfiguration) {
+		this.configuration = newConfiguration;
 		for (AccountName name : Set.copyOf(this.quotaLimiters.keySet())) {
 			QuotaLimiter limiter = Objects.requireNonNull(this.quotaLimiters.get(name));
-			TokenQuota quota = quota(name, newest);
+			TokenQuota quota = quota(name, newConfiguration);
 			if (quota == null) {
 				this.quotaLimiters.remove(name);
-				this.acceptedBefore.merge(name, limiter.used(), Double::sum);
+				this.acceptedByRemovedLimiters.merge(name, limiter.used(), Double::sum);
 			}
 			else if (!limiter.quota().equals(quota)) {
 				this.quotaLimiters.put(name, limiter.changedTo(quota, this.clock.nanos()));
 			}
 		}
-		newest.accounts().forEach((account) -> limiter(account.name()));
-		this.held.forEach(HeldRequest::release);
-		this.held.clear();
+		newConfiguration.accounts().forEach((account) -> limiter(account.name()));
+		this.deferred.forEach(DeferredRequest::start);
+		this.deferred.clear();
 	}
 
 	private static @Nullable TokenQuota quota(AccountName name, Configuration configuration) {
@@ -156,20 +157,20 @@
 	}
 
 	/**
-	 * Records how much of the fleet there is.
-	 * @param newGateways the gateways, this one included
-	 * @param newReachableShare the part of them that is reachable now
+	 * Updates the size of the fleet.
+	 * @param newGatewayCount the number of gateways, including this one
+	 * @param newReachableShare the fraction of them that is reachable, from 0 to 1
 	 */
-	public void fleet(int newGateways, double newReachableShare) {
-		this.gateways = newGateways;
+	public void fleet(int newGatewayCount, double newReachableShare) {
+		this.gatewayCount = newGatewayCount;
 		this.reachableShare = newReachableShare;
 		this.quotaLimiters.values().forEach((limiter) -> limiter.reachable(newReachableShare));
-		this.budgets.values().forEach((budget) -> budget.changeMostSaved(mostSavedRetries()));
+		this.retryBudgets.values().forEach((retryBudget) -> retryBudget.changeMostSaved(maximumSavedRetries()));
 	}
 
 	/**
-	 * Records what another gateway accepted.
-	 * @param used what it accepted since its last report, by client account
+	 * Adds the quota usage of another gateway.
+	 * @param used the usage since its last report, by client account
 	 */
 	public void remoteUsage(Map<AccountName, Double> used) {
 		used.forEach((name, amount) -> {
@@ -181,19 +182,19 @@
 	}
 
 	/**
-	 * Returns all that this gateway accepted.
-	 * @return the sums by client account
+	 * Returns the quota usage accepted by this gateway since its start.
+	 * @return the totals by client account
 	 */
 	public Map<AccountName, Double> used() {
-		Map<AccountName, Double> sums = new HashMap<>(this.acceptedBefore);
+		Map<AccountName, Double> sums = new HashMap<>(this.acceptedByRemovedLimiters);
 		this.quotaLimiters.forEach((name, limiter) -> sums.merge(name, limiter.used(), Double::sum));
 		return sums;
 	}
 
 	private @Nullable QuotaLimiter limiter(AccountName name) {
-		QuotaLimiter known = this.quotaLimiters.get(name);
-		if (known != null || this.configuration == null) {
-			return known;
+		QuotaLimiter existing = this.quotaLimiters.get(name);
+		if (existing != null || this.configuration == null) {
+			return existing;
 		}
 		TokenQuota quota = quota(name, this.configuration);
 		if (quota == null) {
@@ -206,63 +207,63 @@
 	}
 
 	/**
-	 * Changes which requests are accepted.
-	 * @param newPhase which ones
+	 * Sets the drain phase.
+	 * @param newDrainPhase the phase
 	 */
-	public void drain(DrainPhase newPhase) {
-		this.phase = newPhase;
+	public void drain(DrainPhase newDrainPhase) {
+		this.drainPhase = newDrainPhase;
 	}
 
 	/**
-	 * Returns the requests that are being answered.
+	 * Returns the number of requests in progress.
 	 * @return the number
 	 */
 	public int inProgress() {
 		return this.inProgress;
 	}
 
-	ResponseSubscription begin(CallerConnection caller, CallerRequest request) {
-		if (this.configuration == null && this.held.size() < MAXIMUM_HELD_REQUESTS) {
-			return hold(caller, request);
+	InFlightRequest begin(CallerConnection caller, CallerRequest request) {
+		if (this.configuration == null && this.deferred.size() < MAXIMUM_DEFERRED_REQUESTS) {
+			return defer(caller, request);
 		}
 		return beginNow(caller, request);
 	}
 
-	private ResponseSubscription hold(CallerConnection caller, CallerRequest request) {
-		HeldRequest holding = new HeldRequest(() -> beginNow(caller, request));
-		this.held.add(holding);
+	private InFlightRequest defer(CallerConnection caller, CallerRequest request) {
+		DeferredRequest deferredRequest = new DeferredRequest(() -> beginNow(caller, request));
+		this.deferred.add(deferredRequest);
 		Duration deadline = this.headerCodec.readCaller(request.head().headers()).deadline();
 		this.eventLoop.schedule(() -> {
-			this.held.remove(holding);
-			holding.release();
+			this.deferred.remove(deferredRequest);
+			deferredRequest.start();
 		}, this.admission.maximumStartupWait(deadline).toMillis(), TimeUnit.MILLISECONDS);
-		return holding;
+		return deferredRequest;
 	}
 
-	private ResponseSubscription beginNow(CallerConnection caller, CallerRequest request) {
+	private InFlightRequest beginNow(CallerConnection caller, CallerRequest request) {
 		CallerHeaders requestHeaders = this.headerCodec.readCaller(request.head().headers());
-		RequestRouter router = new RequestRouter(this.configuration, this.phase);
+		RequestRouter router = new RequestRouter(this.configuration, this.drainPhase);
 		RoutingDecision decision = router.decide(request.head().headers().get("host"), request.head().uri(),
 				requestHeaders, this.random.nextDouble());
 		return switch (decision) {
 			case RoutingDecision.Rejected rejected -> {
 				reject(caller, new RequestLog.RejectionFacts(requestHeaders.requestId(), rejected.kind(),
-						rejected.retryAfter(), null, null, version()));
-				yield ResponseSubscription.BEGUN;
+						rejected.retryAfter(), null, null, configurationVersion()));
+				yield InFlightRequest.NO_OP;
 			}
 			case RoutingDecision.Accepted accepted -> begin(caller, request, requestHeaders, accepted);
 		};
 	}
 
-	private ResponseSubscription begin(CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
+	private InFlightRequest begin(CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
 			RoutingDecision.Accepted accepted) {
-		RequestLog.RejectionFacts overLimit = chargeQuota(accepted.account(), requestHeaders);
-		if (overLimit != null) {
-			reject(caller, overLimit);
-			return ResponseSubscription.BEGUN;
+		RequestLog.RejectionFacts rejection = chargeQuota(accepted.account(), requestHeaders);
+		if (rejection != null) {
+			reject(caller, rejection);
+			return InFlightRequest.NO_OP;
 		}
 		this.inProgress++;
-		budget(accepted.service().name()).firstAttempt();
+		retryBudget(accepted.service().name()).firstAttempt();
 		Exchange exchange = new Exchange(this, caller, request, requestHeaders, accepted);
 		exchange.begin();
 		return exchange;
@@ -276,38 +277,38 @@
 			return null;
 		}
 		return new RequestLog.RejectionFacts(requestHeaders.requestId(), ErrorKind.ACCOUNT_OVER_LIMIT,
-				limiter.retryAfter(), account.name(), Math.round(limiter.available()), version());
+				limiter.retryAfter(), account.name(), Math.round(limiter.available()), configurationVersion());
 	}
 
-	private void reject(CallerConnection caller, RequestLog.RejectionFacts facts) {
-		this.requestLog.rejected(facts);
-		caller.answer(FailureAnswer.of(facts.kind(), facts.retryAfter()));
+	private void reject(CallerConnection caller, RequestLog.RejectionFacts rejection) {
+		this.requestLog.rejected(rejection);
+		caller.respond(ErrorResponse.of(rejection.kind(), rejection.retryAfter()));
 	}
 
-	void rejectedUnread(ErrorKind kind) {
-		this.requestLog.rejected(new RequestLog.RejectionFacts(null, kind, null, null, null, version()));
+	void rejectedBeforeRead(ErrorKind kind) {
+		this.requestLog.rejected(new RequestLog.RejectionFacts(null, kind, null, null, null, configurationVersion()));
 	}
 
 	void ended() {
 		this.inProgress--;
 	}
 
-	RetryBudget budget(ServiceName service) {
-		return this.budgets.computeIfAbsent(service,
-				(name) -> new RetryBudget(this.retryLimits.ratio() * SHARE_OF_BUDGET, mostSavedRetries() / 2,
-						mostSavedRetries()));
+	RetryBudget retryBudget(ServiceName service) {
+		return this.retryBudgets.computeIfAbsent(service,
+				(name) -> new RetryBudget(this.retryLimits.ratio() * RETRY_BUDGET_SHARE, maximumSavedRetries() / 2,
+						maximumSavedRetries()));
 	}
 
-	private double mostSavedRetries() {
-		return this.retryLimits.burst() * SHARE_OF_BUDGET / this.gateways;
+	private double maximumSavedRetries() {
+		return this.retryLimits.burst() * RETRY_BUDGET_SHARE / this.gatewayCount;
 	}
 
-	// A gateway's part of the connections that an endpoint accepts from all.
-	int connectionShare(Service service) {
-		return Math.max(2, (int) (service.maxConnections() * 0.9 / this.gateways));
+	// This gateway's share of the connections that an endpoint accepts from all gateways.
+	int maximumConnections(Service service) {
+		return Math.max(2, (int) (service.maxConnections() * 0.9 / this.gatewayCount));
 	}
 
-	long version() {
+	long configurationVersion() {
 		return (this.configuration != null) ? this.configuration.version() : 0;
 	}
 
@@ -323,7 +324,7 @@
 		return this.wallClock;
 	}
 
-	double draw() {
+	double nextRandom() {
 		return this.random.nextDouble();
 	}
 
@@ -351,8 +352,8 @@
 		return this.admission;
 	}
 
-	Meters meteredBy() {
-		return this.meteredBy;
+	Meters meters() {
+		return this.meters;
 	}
 
 	RequestLog requestLog() {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestLog.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestLog.java
@@ -8,46 +8,46 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Tells what became of requests.
+ * Receives the outcomes of requests.
  */
 public interface RequestLog {
 
 	/**
-	 * Tells of a request that was answered before it was sent on.
-	 * @param facts what decided it
+	 * Called when a request was rejected without an attempt at an endpoint.
+	 * @param facts the rejected request
 	 */
 	void rejected(RejectionFacts facts);
 
 	/**
-	 * Tells of an attempt at an endpoint that did not bring the answer.
+	 * Called when an attempt at an endpoint failed, or the endpoint rejected the request.
 	 * @param attempt the attempt
-	 * @param reason why not
+	 * @param reason the reason
 	 */
 	void attemptFailed(AttemptFacts attempt, String reason);
 
 	/**
-	 * Tells how a request ended.
-	 * @param facts what decided it
+	 * Called when a request has ended.
+	 * @param facts the request
 	 */
 	void ended(RequestFacts facts);
 
 	/**
-	 * Tells that an endpoint named another rate limit than before.
+	 * Called when an endpoint has changed its rate limit.
 	 * @param endpoint the endpoint
-	 * @param requestsPerSecond the limit, or {@code null} if it has ended
+	 * @param requestsPerSecond the new limit, or {@code null} if there is none any more
 	 */
 	void rateLimitChanged(EndpointId endpoint, @Nullable Double requestsPerSecond);
 
 	/**
-	 * A refusal.
+	 * A rejected request.
 	 *
-	 * @param requestId the request, or {@code null} if it has no identifier
-	 * @param kind why
-	 * @param retryAfter when the caller may come back, or {@code null}
-	 * @param account the client account, or {@code null} if it is not known
-	 * @param quotaAvailable what was left of the account's quota, negative if it is
-	 * overdrawn, or {@code null} if it was not asked
-	 * @param version the configuration's version
+	 * @param requestId the request id, or {@code null} if the request has none
+	 * @param kind the error that was reported
+	 * @param retryAfter the delay after which the caller may retry, or {@code null}
+	 * @param account the client account, or {@code null} if it is unknown
+	 * @param quotaAvailable the remaining quota of the account, negative if it is
+	 * overdrawn, or {@code null} if the quota was not checked
+	 * @param version the configuration version
 	 */
 	record RejectionFacts(@Nullable String requestId, ErrorKind kind, @Nullable Duration retryAfter,
 			@Nullable AccountName account, @Nullable Long quotaAvailable, long version) {
@@ -56,27 +56,28 @@
 	/**
 	 * An attempt at an endpoint.
 	 *
-	 * @param requestId the request
+	 * @param requestId the request id
 	 * @param endpoint the endpoint
-	 * @param number 1 for the request's first attempt
-	 * @param predictedMillis the predicted time to its answer, in ms
-	 * @param elapsed since it was sent
+	 * @param number the attempt number, starting at 1 for each request
+	 * @param predictedMillis the predicted response time, in ms
+	 * @param elapsed the time since the request was sent
 	 */
 	record AttemptFacts(String requestId, String endpoint, int number, double predictedMillis, Duration elapsed) {
 	}
 
 	/**
-	 * The end of a request.
+	 * A request that has ended.
 	 *
-	 * @param requestId the request
-	 * @param route its route
-	 * @param outcome how it ended
-	 * @param status the status that the caller got; 0 if its connection was closed
-	 * @param endpoint the last endpoint, or {@code null} if it was not sent
-	 * @param attempts how many endpoints it was sent to
-	 * @param untilFirst from its arrival to the first byte of its answer, or {@code null}
-	 * @param elapsed since its arrival
-	 * @param version the version of the configuration it was taken under
+	 * @param requestId the request id
+	 * @param route the route
+	 * @param outcome the outcome
+	 * @param status the status sent to the caller; 0 if the connection was closed
+	 * @param endpoint the last endpoint, or {@code null} if the request was not sent
+	 * @param attempts the number of attempts
+	 * @param untilFirst the time from arrival to the first byte of the response, or
+	 * {@code null}
+	 * @param elapsed the time since arrival
+	 * @param version the configuration version under which the request was accepted
 	 */
 	record RequestFacts(String requestId, String route, String outcome, int status, @Nullable String endpoint,
 			int attempts, @Nullable Duration untilFirst, Duration elapsed, long version) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestRouter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestRouter.java
@@ -12,11 +12,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds a request's route, service and client account.
+ * Resolves the route, service and client account of a request.
  */
 final class RequestRouter {
 
-	/** Until a configuration is read, or another gateway answers. */
+	/**
+	 * The retry delay until a configuration has been read, or another gateway takes over.
+	 */
 	private static final Duration RETRY_AFTER = Duration.ofMillis(300);
 
 	private final @Nullable Configuration configuration;
@@ -28,36 +30,36 @@
 		this.phase = phase;
 	}
 
-	RoutingDecision decide(@Nullable String host, String uri, CallerHeaders requestHeaders, double draw) {
-		Configuration known = this.configuration;
-		if (known == null) {
+	RoutingDecision decide(@Nullable String host, String uri, CallerHeaders requestHeaders, double serviceDraw) {
+		Configuration current = this.configuration;
+		if (current == null) {
 			return new RoutingDecision.Rejected(ErrorKind.PLATFORM_UNREACHABLE, RETRY_AFTER);
 		}
 		if (host == null || requestHeaders.requestId() == null) {
 			return new RoutingDecision.Rejected(ErrorKind.MALFORMED_REQUEST, null);
 		}
-		Route route = known.route(host, path(uri));
+		Route route = current.route(host, path(uri));
 		if (route == null) {
 			return new RoutingDecision.Rejected(ErrorKind.SERVICE_UNKNOWN, null);
 		}
 		ClientAccount account = null;
-		if (!route.anonymous() && !known.accounts().isEmpty()) {
-			account = (requestHeaders.key() != null) ? known.accountOf(requestHeaders.key()) : null;
+		if (!route.anonymous() && !current.accounts().isEmpty()) {
+			account = (requestHeaders.key() != null) ? current.accountOf(requestHeaders.key()) : null;
 			if (account == null) {
 				return new RoutingDecision.Rejected(ErrorKind.ACCOUNT_UNKNOWN, null);
 			}
 		}
-		if (!takes(route)) {
+		if (!accepts(route)) {
 			return new RoutingDecision.Rejected(ErrorKind.STOPPING, RETRY_AFTER);
 		}
-		Service service = known.service(route.serviceFor(draw));
+		Service service = current.service(route.serviceFor(serviceDraw));
 		if (service == null) {
 			return new RoutingDecision.Rejected(ErrorKind.NO_ENDPOINT, RETRY_AFTER);
 		}
 		return new RoutingDecision.Accepted(route, service, account);
 	}
 
-	private boolean takes(Route route) {
+	private boolean accepts(Route route) {
 		return switch (this.phase) {
 			case ALL -> true;
 			case SHORT_ONES -> route.kind() != RouteKind.STREAMING;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RetryLimits.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RetryLimits.java
@@ -1,10 +1,10 @@
 package org.banyancove.gateway.exchange;
 
 /**
- * What all gateways together may send again, in a window, for each service.
+ * The retry limits of a service, for all gateways together.
  *
- * @param ratio the retries for each request
- * @param burst the retries beside those
+ * @param ratio the retries allowed per request
+ * @param burst the additional retries allowed in a burst
  */
 public record RetryLimits(double ratio, double burst) {
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RoutingDecision.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RoutingDecision.java
@@ -9,25 +9,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Whether a request is taken in.
+ * The decision to accept or reject a request.
  */
 sealed interface RoutingDecision {
 
 	/**
-	 * The request goes on.
+	 * The request is accepted.
 	 *
-	 * @param route its route
-	 * @param service the service that runs it
-	 * @param account its client account, or {@code null} if it is anonymous
+	 * @param route the route
+	 * @param service the service that runs the request
+	 * @param account the client account, or {@code null} if the request is anonymous
 	 */
 	record Accepted(Route route, Service service, @Nullable ClientAccount account) implements RoutingDecision {
 	}
 
 	/**
-	 * The request is answered at once.
+	 * The request is rejected.
 	 *
-	 * @param kind why
-	 * @param retryAfter when the caller may come back, or {@code null}
+	 * @param kind the error to report
+	 * @param retryAfter the delay after which the caller may retry, or {@code null}
 	 */
 	record Rejected(ErrorKind kind, @Nullable Duration retryAfter) implements RoutingDecision {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/StrictRequestDecoder.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/StrictRequestDecoder.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Refuses a request that states its length in two ways.
+ * Rejects a request that has both a {@code Content-Length} and chunked encoding.
  * <p>
- * The two may be read differently behind us, so that a second request could be hidden in
- * the first one's body. A rejected request is never passed on.
+ * A server behind the gateway may interpret the two differently, so that a second request
+ * could be smuggled in the body of the first. A rejected request is never forwarded.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
@@ -18,7 +18,7 @@
 
 	@Override
 	protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-		throw new IllegalArgumentException("both a length and chunks are stated");
+		throw new IllegalArgumentException("request must not have both Content-Length and chunked Transfer-Encoding");
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The way of a request: from a caller's connection to an endpoint's and back, over
- * HTTP/1.1.
+ * HTTP/1.1 request processing, from a caller's connection to an endpoint's and back.
  * <p>
- * Input and output on the event loop; every choice is asked of the decision packages.
+ * This package does the I/O on the event loop and delegates decisions to the admission,
+ * endpoint and rollout packages.
  */
 @NullMarked
 package org.banyancove.gateway.exchange;
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ExchangeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ExchangeTests.java
@@ -51,15 +51,15 @@
 
 	private static final ServiceName SERVICE = new ServiceName("service");
 
-	private static final DataCenterName ZONE = new DataCenterName("zone");
+	private static final DataCenterName DATA_CENTER = new DataCenterName("zone");
 
-	private static final String WHOLE = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ncontent-length: 5\r\n\r\nhello";
+	private static final String COMPLETE_RESPONSE = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ncontent-length: 5\r\n\r\nhello";
 
-	private static final String FAILED = "HTTP/1.1 500 Failed\r\nid: ID\r\nseal: s\r\ncontent-length: 4\r\n\r\noops";
+	private static final String FAILED_RESPONSE = "HTTP/1.1 500 Failed\r\nid: ID\r\nseal: s\r\ncontent-length: 4\r\n\r\noops";
 
-	private static final String NOT_RUN = "HTTP/1.1 503 Full\r\nid: ID\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n";
+	private static final String NOT_RUN_RESPONSE = "HTTP/1.1 503 Full\r\nid: ID\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n";
 
-	private static final String STREAM = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ntransfer-encoding: chunked\r\n\r\n";
+	private static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ntransfer-encoding: chunked\r\n\r\n";
 
 	private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1,
 			NioIoHandler.newFactory());
@@ -69,7 +69,7 @@
 	private final EndpointTable endpoints = new EndpointTable(
 			new RateLimitAllotment("gateway", () -> List.of("gateway")));
 
-	private final List<ScriptedEndpoint> scripted = new ArrayList<>();
+	private final List<ScriptedEndpoint> scriptedEndpoints = new ArrayList<>();
 
 	private final ClientConnections connections = new ClientConnections(this.eventLoop, System::nanoTime);
 
@@ -77,25 +77,25 @@
 
 	private volatile BooleanSupplier endpointsCurrent = () -> true;
 
-	private final RequestFlow flow = newFlow();
+	private final RequestFlow dispatcher = newDispatcher();
 
-	private final CallerServer callers = newServer(this.flow);
+	private final CallerServer server = newServer(this.dispatcher);
 
 	private @Nullable Configuration configuration;
 
-	private @Nullable Channel listening;
+	private @Nullable Channel serverChannel;
 
-	private RequestFlow newFlow() {
+	private RequestFlow newDispatcher() {
 		return new RequestFlow(this.eventLoop, System::nanoTime, InstantSource.system(), new SplittableRandom(1),
-				new TestWords(), this.connections, new ServingEndpoints(this.endpoints, this.rollouts),
-				() -> this.endpointsCurrent.getAsBoolean(), new PlacementRule(ZONE),
-				new Meters(new UsageCounter(Duration.ofSeconds(5)), new DemandEstimator()), new SilentLog(),
+				new TestHeaderCodec(), this.connections, new ServingEndpoints(this.endpoints, this.rollouts),
+				() -> this.endpointsCurrent.getAsBoolean(), new PlacementRule(DATA_CENTER),
+				new Meters(new UsageCounter(Duration.ofSeconds(5)), new DemandEstimator()), new NoOpRequestLog(),
 				new RetryLimits(1, 100));
 	}
 
-	private CallerServer newServer(RequestFlow served) {
+	private CallerServer newServer(RequestFlow servedDispatcher) {
 		return new CallerServer(this.eventLoops, System::nanoTime,
-				() -> new CallerLimits(4096, 10_000, Duration.ofSeconds(3), Duration.ofSeconds(15)), served);
+				() -> new CallerLimits(4096, 10_000, Duration.ofSeconds(3), Duration.ofSeconds(15)), servedDispatcher);
 	}
 
 	@BeforeEach
@@ -104,22 +104,22 @@
 				route("/again/", RouteKind.IDEMPOTENT, false, 2), route("/stream/", RouteKind.STREAMING, false, 1),
 				route("/resumed/", RouteKind.STREAMING, true, 2)), List.of(new Service(SERVICE, 100, null, null)),
 				List.of(), CallerLimits.DEFAULT);
-		configure(this.flow);
-		this.listening = this.callers
+		configure(this.dispatcher);
+		this.serverChannel = this.server
 			.listen(ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
 	}
 
-	private void configure(RequestFlow configured) throws InterruptedException {
-		Configuration known = Objects.requireNonNull(this.configuration);
+	private void configure(RequestFlow configuredDispatcher) throws InterruptedException {
+		Configuration currentConfiguration = Objects.requireNonNull(this.configuration);
 		this.eventLoop.submit(() -> {
-			this.endpoints.configure(known);
-			configured.configure(known);
+			this.endpoints.configure(currentConfiguration);
+			configuredDispatcher.configure(currentConfiguration);
 		}).sync();
 	}
 
 	@AfterEach
 	void stop() throws Exception {
-		for (ScriptedEndpoint endpoint : this.scripted) {
+		for (ScriptedEndpoint endpoint : this.scriptedEndpoints) {
 			endpoint.close();
 		}
 		this.eventLoops.shutdownGracefully(0, 5, TimeUnit.SECONDS).sync();
@@ -131,31 +131,31 @@
 	}
 
 	@Test
-	void passesTheRequestOnUnchangedAndTheAnswerBackWhole() throws Exception {
-		ScriptedEndpoint endpoint = endpoint("a").thenAnswer(WHOLE);
+	void forwardsTheRequestAndTheCompleteResponse() throws Exception {
+		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE_RESPONSE);
 		try (Caller caller = new Caller()) {
 			caller.send(lines("POST /once/x?y=%20z HTTP/1.1", "host: host", "id: 1", "other: o", "key: secret",
 					"transfer-encoding: chunked", "", "4", "body", "0", "", ""));
-			Answer answer = caller.read();
-			assertThat(answer.status()).isEqualTo(200);
-			assertThat(answer.body()).isEqualTo("hello");
-			assertThat(answer.head()).contains("seal: s");
+			Response response = caller.read();
+			assertThat(response.status()).isEqualTo(200);
+			assertThat(response.body()).isEqualTo("hello");
+			assertThat(response.head()).contains("seal: s");
 		}
-		assertThat(endpoint.request()).startsWith("POST /once/x?y=%20z HTTP/1.1\r\n")
+		assertThat(endpoint.nextRequest()).startsWith("POST /once/x?y=%20z HTTP/1.1\r\n")
 			.contains("other: o")
 			.contains("endpoint: a")
 			.doesNotContain("secret")
 			.endsWith("\r\n\r\nbody");
 	}
 
-	// Guards against a request that is written to a draining endpoint because its
-	// connection took long.
+	// Guards against a request that is sent to a draining endpoint because the endpoint
+	// started to drain while the connection was being established.
 	@Test
-	void aRequestGoesElsewhereIfItsEndpointDrainsWhileTheConnectionIsMade() throws Exception {
-		ScriptedEndpoint first = endpoint("a").thenAnswer(WHOLE);
-		ScriptedEndpoint second = endpoint("b").thenAnswer(WHOLE);
-		EndpointEntry draining = new EndpointEntry(new EndpointId("a"), SERVICE, "v1", first.address(), ZONE, 10, true,
-				false, 1);
+	void requestIsSentToAnotherEndpointIfItsEndpointDrainsDuringConnect() throws Exception {
+		ScriptedEndpoint first = endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		ScriptedEndpoint second = endpoint("b").thenRespond(COMPLETE_RESPONSE);
+		EndpointEntry draining = new EndpointEntry(new EndpointId("a"), SERVICE, "v1", first.address(), DATA_CENTER, 10,
+				true, false, 1);
 		AtomicInteger checks = new AtomicInteger();
 		this.endpointsCurrent = () -> {
 			if (checks.incrementAndGet() == 2) {
@@ -167,68 +167,72 @@
 			caller.send(lines("POST /once/x HTTP/1.1", "host: host", "id: 1", "", ""));
 			assertThat(caller.read().status()).isEqualTo(200);
 		}
-		assertThat(second.waitingRequests()).isEqualTo(1);
-		assertThat(first.waitingRequests()).isZero();
+		assertThat(second.unreadRequests()).isEqualTo(1);
+		assertThat(first.unreadRequests()).isZero();
 	}
 
-	// Guards against callers that wait for an endpoint whose rate limit is used up.
+	// Guards against callers that wait for an endpoint whose rate limit is exhausted.
 	@Test
-	void aRequestBeyondTheRateLimitOfAllEndpointsIsRejectedAtOnceWithTheTimeToRetry() throws Exception {
-		endpoint("a").thenAnswer(WHOLE.replace("seal: s", "seal: s\r\nrate-limit: 0.5")).thenAnswer(WHOLE);
+	void requestBeyondTheRateLimitOfAllEndpointsIsRejectedWithRetryAfter() throws Exception {
+		endpoint("a").thenRespond(COMPLETE_RESPONSE.replace("seal: s", "seal: s\r\nrate-limit: 0.5"))
+			.thenRespond(COMPLETE_RESPONSE);
 		try (Caller caller = new Caller()) {
 			caller.send(lines("GET /again/x HTTP/1.1", "host: host", "id: 1", "", ""));
 			assertThat(caller.read().status()).isEqualTo(200);
 			caller.send(lines("GET /again/x HTTP/1.1", "host: host", "id: 2", "", ""));
-			Answer answer = caller.read();
-			assertThat(answer.status()).isEqualTo(503);
-			assertThat(answer.head().toLowerCase(Locale.ROOT)).containsPattern("retry-after: (1|2)");
+			Response response = caller.read();
+			assertThat(response.status()).isEqualTo(503);
+			assertThat(response.head().toLowerCase(Locale.ROOT)).containsPattern("retry-after: (1|2)");
 		}
 	}
 
-	// Guards against requests at endpoints that left while the gateway stood still.
+	// Guards against requests to endpoints that were removed while the gateway was
+	// paused.
 	@Test
-	void aRequestWaitsUntilTheEndpointsAreCurrent() throws Exception {
-		ScriptedEndpoint endpoint = endpoint("a").thenAnswer(WHOLE);
+	void requestWaitsUntilTheEndpointsAreCurrent() throws Exception {
+		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE_RESPONSE);
 		this.endpointsCurrent = () -> false;
 		try (Caller caller = new Caller()) {
 			caller.send(lines("GET /again/x HTTP/1.1", "host: host", "id: 1", "", ""));
 			TimeUnit.MILLISECONDS.sleep(200);
-			assertThat(endpoint.waitingRequests()).isZero();
+			assertThat(endpoint.unreadRequests()).isZero();
 			this.endpointsCurrent = () -> true;
 			assertThat(caller.read().status()).isEqualTo(200);
 		}
 	}
 
-	// The endpoint answers twice. The second answer lies in the kept connection when the
-	// next request is sent there. Its caller must get the answer that bears its own
-	// identifier.
+	// Guards against a mismatched response: the endpoint responds twice, and the second
+	// response is pending on the pooled connection when the next request is sent on it.
+	// Its caller must receive the response that carries its own request id.
 	@Test
-	void aSecondAnswerIsNotTakenForTheNextRequestsAnswer() throws Exception {
-		endpoint("a").thenAnswer(WHOLE)
+	void duplicateResponseIsNotMatchedToTheNextRequest() throws Exception {
+		endpoint("a").thenRespond(COMPLETE_RESPONSE)
 			.then((connection, id) -> ScriptedEndpoint.write(connection,
-					WHOLE.replace("ID", "1").replace("hello", "stale") + WHOLE.replace("ID", id)));
+					COMPLETE_RESPONSE.replace("ID", "1").replace("hello", "stale")
+							+ COMPLETE_RESPONSE.replace("ID", id)));
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").body()).isEqualTo("hello");
 			assertThat(caller.call("POST /once/ HTTP/1.1", "2").body()).isEqualTo("hello");
 		}
 	}
 
-	// The endpoint reads the request and resets the connection. It may have run it, so
-	// the request is sent nowhere else, and its caller is not told that it did not run.
+	// Guards against running a request twice: the endpoint reads the request and resets
+	// the connection. It may have run the request, so that the request is not retried,
+	// and the caller is not told that it was not run.
 	@Test
-	void aRequestThatMayHaveRunIsNotSentAgain() throws Exception {
+	void nonRepeatableRequestThatMayHaveRunIsNotRetried() throws Exception {
 		ScriptedEndpoint first = endpoint("a").thenReset("");
 		ScriptedEndpoint second = endpoint("b").thenReset("");
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").status()).isEqualTo(502);
 		}
-		assertThat(first.waitingRequests() + second.waitingRequests()).isEqualTo(1);
+		assertThat(first.unreadRequests() + second.unreadRequests()).isEqualTo(1);
 	}
 
 	@Test
-	void aRepeatableRequestGoesToAnotherEndpointAfterAFailure() throws Exception {
-		endpoint("a").thenAnswer(FAILED).thenAnswer(WHOLE);
-		endpoint("b").thenAnswer(WHOLE).thenAnswer(WHOLE);
+	void repeatableRequestIsRetriedOnAnotherEndpointAfterAFailure() throws Exception {
+		endpoint("a").thenRespond(FAILED_RESPONSE).thenRespond(COMPLETE_RESPONSE);
+		endpoint("b").thenRespond(COMPLETE_RESPONSE).thenRespond(COMPLETE_RESPONSE);
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("GET /again/ HTTP/1.1", "1").status()).isEqualTo(200);
 			assertThat(caller.call("GET /again/ HTTP/1.1", "2").status()).isEqualTo(200);
@@ -236,40 +240,41 @@
 	}
 
 	@Test
-	void anEndpointsOwnFailureIsPassedOnAsItIs() throws Exception {
-		endpoint("a").thenAnswer(FAILED);
+	void endpointErrorResponseIsForwardedUnchanged() throws Exception {
+		endpoint("a").thenRespond(FAILED_RESPONSE);
 		try (Caller caller = new Caller()) {
-			Answer answer = caller.call("POST /once/ HTTP/1.1", "1");
-			assertThat(answer.status()).isEqualTo(500);
-			assertThat(answer.body()).isEqualTo("oops");
-			assertThat(answer.head()).contains("seal: s");
+			Response response = caller.call("POST /once/ HTTP/1.1", "1");
+			assertThat(response.status()).isEqualTo(500);
+			assertThat(response.body()).isEqualTo("oops");
+			assertThat(response.head()).contains("seal: s");
 		}
 	}
 
 	@Test
-	void aRequestThatAnEndpointTurnedAwayUnrunMayComeBack() throws Exception {
-		endpoint("a").thenAnswer(NOT_RUN);
+	void requestThatTheEndpointRejectedWithoutRunningGetsRetryAfter() throws Exception {
+		endpoint("a").thenRespond(NOT_RUN_RESPONSE);
 		try (Caller caller = new Caller()) {
-			Answer answer = caller.call("POST /once/ HTTP/1.1", "1");
-			assertThat(answer.status()).isEqualTo(503);
-			assertThat(answer.head()).contains("retry-after: 0.");
+			Response response = caller.call("POST /once/ HTTP/1.1", "1");
+			assertThat(response.status()).isEqualTo(503);
+			assertThat(response.head()).contains("retry-after: 0.");
 		}
 	}
 
-	// A 503 that doesn't state that the request was not run promises nothing. Passed on,
-	// it would tell the caller to send the request again.
+	// Guards against running a request twice: a 503 without the not-run header leaves
+	// open whether the request ran, and would tell the caller to retry if it were
+	// forwarded.
 	@Test
-	void aRefusalThatStatesNothingIsNotPassedOn() throws Exception {
-		endpoint("a").thenAnswer("HTTP/1.1 503 Busy\r\nid: ID\r\nseal: s\r\ncontent-length: 0\r\n\r\n");
+	void serviceUnavailableWithoutNotRunHeaderIsNotForwarded() throws Exception {
+		endpoint("a").thenRespond("HTTP/1.1 503 Busy\r\nid: ID\r\nseal: s\r\ncontent-length: 0\r\n\r\n");
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").status()).isEqualTo(502);
 		}
 	}
 
 	@Test
-	void whatCouldNotBeSentGoesToAnotherEndpointEvenIfItRunsOnce() throws Exception {
+	void unsentNonRepeatableRequestIsSentToAnotherEndpoint() throws Exception {
 		endpoint("a").close();
-		endpoint("b").thenAnswer(WHOLE).thenAnswer(WHOLE);
+		endpoint("b").thenRespond(COMPLETE_RESPONSE).thenRespond(COMPLETE_RESPONSE);
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").status()).isEqualTo(200);
 			assertThat(caller.call("POST /once/ HTTP/1.1", "2").status()).isEqualTo(200);
@@ -277,17 +282,17 @@
 	}
 
 	@Test
-	void aSuccessWithoutASealIsNoAnswer() throws Exception {
-		endpoint("a").thenAnswer("HTTP/1.1 200 OK\r\nid: ID\r\ncontent-length: 5\r\n\r\nhello");
+	void successWithoutSealIsNotForwarded() throws Exception {
+		endpoint("a").thenRespond("HTTP/1.1 200 OK\r\nid: ID\r\ncontent-length: 5\r\n\r\nhello");
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").status()).isEqualTo(502);
 		}
 	}
 
-	// The answer has no length and ends with its connection, which is reset on the way.
-	// What has come looks whole and is not.
+	// Guards against truncated responses: a response without a length is delimited by the
+	// end of its connection, which is reset in the middle of the body.
 	@Test
-	void anAnswerWithoutALengthWhoseConnectionIsResetIsNotWhole() throws Exception {
+	void responseWithoutLengthIsIncompleteAfterAConnectionReset() throws Exception {
 		endpoint("a").thenReset("HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\n\r\nhel");
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").status()).isEqualTo(502);
@@ -295,7 +300,7 @@
 	}
 
 	@Test
-	void anAnswerWithoutALengthThatEndsInOrderIsWhole() throws Exception {
+	void responseWithoutLengthIsCompleteAfterAnOrderlyClose() throws Exception {
 		endpoint("a").then((connection, id) -> {
 			ScriptedEndpoint.write(connection, "HTTP/1.1 200 OK\r\nid: " + id + "\r\nseal: s\r\n\r\nhello");
 			connection.close();
@@ -305,87 +310,87 @@
 		}
 	}
 
-	// The first engine breaks off within an event. The stream goes on at another engine
-	// after the last whole event, within the same answer: the caller gets each event
-	// once.
+	// Guards against lost, truncated or duplicate events: the first engine fails within
+	// an event, and the stream is resumed on another engine after the last complete
+	// event, within the same response.
 	@Test
-	void aStreamGoesOnAtAnotherEngine() throws Exception {
-		String broken = STREAM + chunk("id: 1\ndata: a\n\nid: 2\nda");
-		String rest = STREAM + chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
+	void streamIsResumedOnAnotherEngine() throws Exception {
+		String broken = STREAM_HEAD + chunk("id: 1\ndata: a\n\nid: 2\nda");
+		String remainder = STREAM_HEAD + chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
 		for (String name : List.of("a", "b")) {
 			endpoint(name).then((connection, id) -> {
-				boolean first = this.scripted.stream().mapToInt(ScriptedEndpoint::waitingRequests).sum() == 1;
-				ScriptedEndpoint.write(connection, (first ? broken : rest).replace("ID", id));
+				boolean first = this.scriptedEndpoints.stream().mapToInt(ScriptedEndpoint::unreadRequests).sum() == 1;
+				ScriptedEndpoint.write(connection, (first ? broken : remainder).replace("ID", id));
 				if (first) {
 					connection.close();
 				}
 			});
 		}
 		try (Caller caller = new Caller()) {
-			Answer answer = caller.call("POST /resumed/ HTTP/1.1", "1");
-			assertThat(answer.body()).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+			Response response = caller.call("POST /resumed/ HTTP/1.1", "1");
+			assertThat(response.body()).isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 		}
 		List<String> requests = new ArrayList<>();
-		for (ScriptedEndpoint endpoint : this.scripted) {
-			requests.add(String.valueOf(endpoint.request()));
+		for (ScriptedEndpoint endpoint : this.scriptedEndpoints) {
+			requests.add(String.valueOf(endpoint.nextRequest()));
 		}
 		assertThat(requests).anySatisfy((request) -> assertThat(request).contains("last-event: 1"))
 			.anySatisfy((request) -> assertThat(request).doesNotContain("last-event"));
 	}
 
 	@Test
-	void aStreamThatCannotGoOnDoesNotLookWhole() throws Exception {
-		endpoint("a").thenReset(STREAM + chunk("id: 1\ndata: a\n\n"));
+	void streamThatCannotBeResumedIsNotTerminatedAsComplete() throws Exception {
+		endpoint("a").thenReset(STREAM_HEAD + chunk("id: 1\ndata: a\n\n"));
 		try (Caller caller = new Caller()) {
-			Answer answer = caller.call("POST /stream/ HTTP/1.1", "1");
-			assertThat(answer.body()).isEqualTo("id: 1\ndata: a\n\n");
-			assertThat(answer.whole()).isFalse();
+			Response response = caller.call("POST /stream/ HTTP/1.1", "1");
+			assertThat(response.body()).isEqualTo("id: 1\ndata: a\n\n");
+			assertThat(response.complete()).isFalse();
 		}
 	}
 
-	// The caller closes its connection while the engine works. The engine must learn of
-	// it, which it does by its own connection.
+	// Guards against wasted engine time: the caller closes its connection while the
+	// engine is running. The engine detects it by the end of its own connection.
 	@Test
-	void anEndpointIsToldThatTheCallerLeft() throws Exception {
+	void callerDisconnectClosesTheEndpointConnection() throws Exception {
 		ScriptedEndpoint endpoint = endpoint("a").then((connection, id) -> {
 		});
 		Caller caller = new Caller();
 		caller.send("POST /stream/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ncontent-length: 0\r\n\r\n");
-		assertThat(endpoint.request()).isNotNull();
+		assertThat(endpoint.nextRequest()).isNotNull();
 		caller.close();
-		assertThat(endpoint.closedByGateway()).isNotNull();
+		assertThat(endpoint.awaitConnectionEnd()).isNotNull();
 	}
 
-	// A data centre is cut off, and a request to it is held up on its way. Its caller's
-	// deadline passes. Closed in order, the connection would still deliver the request
-	// when
-	// the cut ends, and a booking would run that the caller was told nothing of.
+	// Guards against a request that runs after its deadline: a network partition isolates
+	// a data centre and delays a request to it. After an orderly close, the connection
+	// would still deliver the request when the partition heals, and a booking would run
+	// without its caller being told.
 	@Test
-	void aRequestThatIsGivenUpIsDroppedOnItsWay() throws Exception {
+	void cancelledRequestIsDroppedInTransit() throws Exception {
 		ScriptedEndpoint endpoint = endpoint("a").then((connection, id) -> {
 		});
 		try (Caller caller = new Caller()) {
 			caller.send("POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ndeadline-ms: 200\r\ncontent-length: 0\r\n\r\n");
 			assertThat(caller.read().status()).isEqualTo(504);
 		}
-		assertThat(endpoint.closedByGateway()).isEqualTo("reset");
+		assertThat(endpoint.awaitConnectionEnd()).isEqualTo("reset");
 	}
 
-	// A request states its length twice, so that the end of its body hides another
-	// request. Neither is passed on.
+	// Guards against request smuggling: a request has two lengths, so that the end of its
+	// body can contain another request. Neither is forwarded.
 	@Test
-	void aRequestWithTwoLengthsIsRefused() throws Exception {
-		ScriptedEndpoint endpoint = endpoint("a").thenAnswer(WHOLE);
+	void requestWithContentLengthAndChunkedEncodingIsRejected() throws Exception {
+		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE_RESPONSE);
 		try (Caller caller = new Caller()) {
 			caller.send(lines("POST /once/ HTTP/1.1", "host: host", "id: 1", "content-length: 5",
 					"transfer-encoding: chunked", "", "0", "", "POST /once/ HTTP/1.1", "host: host", "id: 2", "", ""));
 			assertThat(caller.read().status()).isEqualTo(400);
 		}
-		assertThat(endpoint.waitingRequests()).isZero();
+		assertThat(endpoint.unreadRequests()).isZero();
 	}
 
 	@Test
-	void whatIsTooLargeIsRefused() throws Exception {
+	void oversizedHeadersAndBodiesAreRejected() throws Exception {
 		try (Caller caller = new Caller()) {
 			caller.send("POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\nlong: " + "x".repeat(5000) + "\r\n\r\n");
 			assertThat(caller.read().status()).isEqualTo(431);
@@ -397,8 +402,9 @@
 	}
 
 	@Test
-	void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-		endpoint("a").thenAnswer(WHOLE.replace("hello", "first")).thenAnswer(WHOLE.replace("hello", "again"));
+	void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+		endpoint("a").thenRespond(COMPLETE_RESPONSE.replace("hello", "first"))
+			.thenRespond(COMPLETE_RESPONSE.replace("hello", "again"));
 		try (Caller caller = new Caller()) {
 			String request = "POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ncontent-length: 0\r\n\r\n";
 			caller.send(request + request.replace("id: 1", "id: 2"));
@@ -408,55 +414,56 @@
 	}
 
 	@Test
-	void aRequestThatNoEndpointCanTakeIsAnsweredNotRun() throws Exception {
+	void requestWithoutAnAvailableEndpointIsRejectedAsNotRun() throws Exception {
 		try (Caller caller = new Caller()) {
 			caller.send("POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ndeadline-ms: 400\r\ncontent-length: 0\r\n\r\n");
 			assertThat(caller.read().status()).isEqualTo(503);
 		}
 	}
 
-	// All processes were killed and start again. A caller's only retry reaches a gateway
-	// that has not read the configuration yet. Refused, the caller would have no further
-	// try; the request is held for the moment until the configuration is known.
+	// Guards against failed requests after a restart of all processes: a caller's only
+	// retry reaches a gateway that has not read its configuration yet. The caller could
+	// not retry after a rejection, so the request is deferred until the configuration is
+	// read.
 	@Test
-	void aRequestThatArrivesBeforeTheConfigurationIsReadIsAnsweredOnceItIs() throws Exception {
-		endpoint("a").thenAnswer(WHOLE);
-		RequestFlow starting = newFlow();
-		this.listening = newServer(starting)
+	void requestReceivedBeforeTheConfigurationIsDeferredUntilItIsRead() throws Exception {
+		endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		RequestFlow startingDispatcher = newDispatcher();
+		this.serverChannel = newServer(startingDispatcher)
 			.listen(ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
 		try (Caller caller = new Caller()) {
 			caller.send("POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ncontent-length: 0\r\n\r\n");
-			this.eventLoop.submit(() -> assertThat(starting.inProgress()).isZero()).sync();
-			configure(starting);
+			this.eventLoop.submit(() -> assertThat(startingDispatcher.inProgress()).isZero()).sync();
+			configure(startingDispatcher);
 			assertThat(caller.read().status()).isEqualTo(200);
 		}
 	}
 
-	// A process starts and opens its socket first. A caller connects and sends its
-	// request
-	// while nobody reads yet; it is answered once the rest of the process has started.
+	// Guards against connections that are lost during startup: a process opens its socket
+	// first, and a caller connects and sends a request before the server is started. The
+	// request is answered once the rest of the process has started.
 	@Test
-	void aConnectionThatArrivedBeforeItIsServedIsAnswered() throws Exception {
-		endpoint("a").thenAnswer(WHOLE);
+	void connectionEstablishedBeforeTheServerStartsIsServed() throws Exception {
+		endpoint("a").thenRespond(COMPLETE_RESPONSE);
 		ServerSocketChannel socket = ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
 		try (Caller caller = new Caller(socket.getLocalAddress())) {
 			caller.send("POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ncontent-length: 0\r\n\r\n");
-			newServer(this.flow).listen(socket);
+			newServer(this.dispatcher).listen(socket);
 			assertThat(caller.read().status()).isEqualTo(200);
 		}
 	}
 
-	// The store is away while a gateway starts, so that no configuration comes. Callers
-	// are
-	// told so while they still have time to go elsewhere.
+	// Guards against requests that wait until their deadline: the store is unavailable
+	// while a gateway starts, so that there is no configuration. Callers are rejected
+	// while they still have time to retry on another gateway.
 	@Test
-	void aRequestIsRefusedUnrunWhenNoConfigurationComes() throws Exception {
-		this.listening = newServer(newFlow())
+	void requestIsRejectedAsNotRunWhenNoConfigurationIsRead() throws Exception {
+		this.serverChannel = newServer(newDispatcher())
 			.listen(ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
 		try (Caller caller = new Caller()) {
-			Answer answer = caller.call("POST /once/ HTTP/1.1", "1");
-			assertThat(answer.status()).isEqualTo(503);
-			assertThat(answer.head()).contains("retry-after: 0.");
+			Response response = caller.call("POST /once/ HTTP/1.1", "1");
+			assertThat(response.status()).isEqualTo(503);
+			assertThat(response.head()).contains("retry-after: 0.");
 		}
 	}
 
@@ -470,25 +477,25 @@
 
 	private ScriptedEndpoint endpoint(String name) throws Exception {
 		ScriptedEndpoint endpoint = new ScriptedEndpoint();
-		this.scripted.add(endpoint);
-		EndpointEntry entry = new EndpointEntry(new EndpointId(name), SERVICE, "v1", endpoint.address(), ZONE, 10,
-				false, false, 1);
+		this.scriptedEndpoints.add(endpoint);
+		EndpointEntry entry = new EndpointEntry(new EndpointId(name), SERVICE, "v1", endpoint.address(), DATA_CENTER,
+				10, false, false, 1);
 		this.eventLoop.submit(() -> this.endpoints.put(entry)).sync();
 		return endpoint;
 	}
 
-	private record Answer(int status, String head, String body, boolean whole) {
+	private record Response(int status, String head, String body, boolean complete) {
 	}
 
 	/**
-	 * A caller with one connection.
+	 * A caller with a single connection.
 	 */
 	private final class Caller implements AutoCloseable {
 
 		private final Socket connection;
 
 		private Caller() throws IOException {
-			this(Objects.requireNonNull(ExchangeTests.this.listening).localAddress());
+			this(Objects.requireNonNull(ExchangeTests.this.serverChannel).localAddress());
 		}
 
 		private Caller(SocketAddress address) throws IOException {
@@ -501,36 +508,36 @@
 			this.connection.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
 		}
 
-		private Answer call(String firstLine, String id) throws IOException {
+		private Response call(String firstLine, String id) throws IOException {
 			send(firstLine + "\r\nhost: host\r\nid: " + id + "\r\ncontent-length: 0\r\n\r\n");
 			return read();
 		}
 
-		private Answer read() throws IOException {
+		private Response read() throws IOException {
 			InputStream input = this.connection.getInputStream();
-			String head = readLineEndingIn(input, "\r\n\r\n");
+			String head = readUntil(input, "\r\n\r\n");
 			int status = Integer.parseInt(head.split(" ")[1]);
 			String length = ScriptedEndpoint.header(head, "content-length");
 			if (!length.isEmpty()) {
 				byte[] body = input.readNBytes(Integer.parseInt(length));
-				return new Answer(status, head, new String(body, StandardCharsets.US_ASCII), true);
+				return new Response(status, head, new String(body, StandardCharsets.US_ASCII), true);
 			}
 			StringBuilder body = new StringBuilder();
 			while (true) {
-				String size = readLineEndingIn(input, "\r\n").trim();
+				String size = readUntil(input, "\r\n").trim();
 				if (size.isEmpty()) {
-					return new Answer(status, head, body.toString(), false);
+					return new Response(status, head, body.toString(), false);
 				}
-				String part = new String(input.readNBytes(Integer.parseInt(size, 16)), StandardCharsets.US_ASCII);
-				readLineEndingIn(input, "\r\n");
-				if (part.isEmpty()) {
-					return new Answer(status, head, body.toString(), true);
+				String chunk = new String(input.readNBytes(Integer.parseInt(size, 16)), StandardCharsets.US_ASCII);
+				readUntil(input, "\r\n");
+				if (chunk.isEmpty()) {
+					return new Response(status, head, body.toString(), true);
 				}
-				body.append(part);
+				body.append(chunk);
 			}
 		}
 
-		private static String readLineEndingIn(InputStream input, String end) throws IOException {
+		private static String readUntil(InputStream input, String end) throws IOException {
 			StringBuilder text = new StringBuilder();
 			while (!text.toString().endsWith(end)) {
 				int read = input.read();
@@ -549,7 +556,7 @@
 
 	}
 
-	private static final class SilentLog implements RequestLog {
+	private static final class NoOpRequestLog implements RequestLog {
 
 		@Override
 		public void rejected(RejectionFacts facts) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/RequestRouterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/RequestRouterTests.java
@@ -34,38 +34,40 @@
 	}
 
 	@Test
-	void takesWhatIsConfigured() {
+	void acceptsConfiguredRoutes() {
 		assertThat(decide(CONFIGURATION, DrainPhase.ALL, "/plain/x?y", "key"))
 			.isInstanceOf(RoutingDecision.Accepted.class);
 		assertThat(decide(CONFIGURATION, DrainPhase.ALL, "/open/", null)).isInstanceOf(RoutingDecision.Accepted.class);
 	}
 
 	@Test
-	void refusesWhatIsNotConfigured() {
-		assertThat(refusal(CONFIGURATION, DrainPhase.ALL, "/other/", "key")).isEqualTo(ErrorKind.SERVICE_UNKNOWN);
-		assertThat(refusal(CONFIGURATION, DrainPhase.ALL, "/plain/", "old")).isEqualTo(ErrorKind.ACCOUNT_UNKNOWN);
-		assertThat(refusal(CONFIGURATION, DrainPhase.ALL, "/plain/", null)).isEqualTo(ErrorKind.ACCOUNT_UNKNOWN);
+	void rejectsUnknownRoutesAndKeys() {
+		assertThat(rejectionKind(CONFIGURATION, DrainPhase.ALL, "/other/", "key")).isEqualTo(ErrorKind.SERVICE_UNKNOWN);
+		assertThat(rejectionKind(CONFIGURATION, DrainPhase.ALL, "/plain/", "old")).isEqualTo(ErrorKind.ACCOUNT_UNKNOWN);
+		assertThat(rejectionKind(CONFIGURATION, DrainPhase.ALL, "/plain/", null)).isEqualTo(ErrorKind.ACCOUNT_UNKNOWN);
 	}
 
-	// A process that has just started knows no configuration. It must not tell callers
-	// that their route or key is unknown, which they would take for final.
+	// Guards against permanent errors during startup: a process without a configuration
+	// must not report a route or key as unknown, since callers do not retry such errors.
 	@Test
-	void withoutAConfigurationNothingIsCalledUnknown() {
-		assertThat(refusal(null, DrainPhase.ALL, "/plain/", "key")).isEqualTo(ErrorKind.PLATFORM_UNREACHABLE);
+	void missingConfigurationIsReportedAsPlatformUnreachable() {
+		assertThat(rejectionKind(null, DrainPhase.ALL, "/plain/", "key")).isEqualTo(ErrorKind.PLATFORM_UNREACHABLE);
 	}
 
-	// A caller keeps its connection open all through a stop and sends a request shortly
-	// before the process ends. The endpoint begins to run it, and the process ends under
-	// it. It is rejected unrun instead, so that the caller sends it elsewhere.
+	// Guards against requests that are interrupted by the end of the process: a caller
+	// keeps its connection open throughout the shutdown and sends a request just before
+	// its end. The request is rejected without running, so that the caller can retry
+	// elsewhere.
 	@Test
-	void towardsTheEndOfAStopNothingIsTakenThatCouldBeCutOff() {
-		assertThat(refusal(CONFIGURATION, DrainPhase.SHORT_ONES, "/stream/", "key")).isEqualTo(ErrorKind.STOPPING);
+	void drainingRejectsRequestsThatCouldBeInterrupted() {
+		assertThat(rejectionKind(CONFIGURATION, DrainPhase.SHORT_ONES, "/stream/", "key"))
+			.isEqualTo(ErrorKind.STOPPING);
 		assertThat(decide(CONFIGURATION, DrainPhase.SHORT_ONES, "/plain/", "key"))
 			.isInstanceOf(RoutingDecision.Accepted.class);
-		assertThat(refusal(CONFIGURATION, DrainPhase.NONE, "/plain/", "key")).isEqualTo(ErrorKind.STOPPING);
+		assertThat(rejectionKind(CONFIGURATION, DrainPhase.NONE, "/plain/", "key")).isEqualTo(ErrorKind.STOPPING);
 	}
 
-	private static ErrorKind refusal(@Nullable Configuration configuration, DrainPhase phase, String uri,
+	private static ErrorKind rejectionKind(@Nullable Configuration configuration, DrainPhase phase, String uri,
 			@Nullable String key) {
 		return ((RoutingDecision.Rejected) decide(configuration, phase, uri, key)).kind();
 	}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ScriptedEndpoint.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ScriptedEndpoint.java
@@ -19,7 +19,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An endpoint that answers each request as a test wrote it down.
+ * An endpoint that responds to each request with the next script of a test.
  */
 final class ScriptedEndpoint implements AutoCloseable {
 
@@ -29,7 +29,7 @@
 
 	private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
-	private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+	private final BlockingQueue<String> connectionEnds = new LinkedBlockingQueue<>();
 
 	ScriptedEndpoint() throws IOException {
 		this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -47,15 +47,15 @@
 		return this;
 	}
 
-	/** Adds an answer; {@code ID} in it becomes the request's identifier. */
-	ScriptedEndpoint thenAnswer(String answer) {
-		return then((connection, id) -> write(connection, answer.replace("ID", id)));
+	/** Adds a response; {@code ID} in it is replaced by the request id. */
+	ScriptedEndpoint thenRespond(String response) {
+		return then((connection, id) -> write(connection, response.replace("ID", id)));
 	}
 
-	/** Adds a beginning of an answer, after which the connection is reset. */
-	ScriptedEndpoint thenReset(String beginning) {
+	/** Adds a partial response, after which the connection is reset. */
+	ScriptedEndpoint thenReset(String prefix) {
 		return then((connection, id) -> {
-			write(connection, beginning.replace("ID", id));
+			write(connection, prefix.replace("ID", id));
 			TimeUnit.MILLISECONDS.sleep(100);
 			connection.setSoLinger(true, 0);
 			connection.close();
@@ -68,18 +68,21 @@
 		output.flush();
 	}
 
-	/** Returns the next request that arrived, head and body. */
-	@Nullable String request() throws InterruptedException {
+	/** Returns the head and body of the next request. */
+	@Nullable String nextRequest() throws InterruptedException {
 		return this.requests.poll(10, TimeUnit.SECONDS);
 	}
 
-	int waitingRequests() {
+	int unreadRequests() {
 		return this.requests.size();
 	}
 
-	/** Waits until a connection with a request on it was closed by the gateway. */
-	@Nullable String closedByGateway() throws InterruptedException {
-		return this.ends.poll(10, TimeUnit.SECONDS);
+	/**
+	 * Waits until the gateway ends a connection.
+	 * @return {@code closed} or {@code reset}, or {@code null} on timeout
+	 */
+	@Nullable String awaitConnectionEnd() throws InterruptedException {
+		return this.connectionEnds.poll(10, TimeUnit.SECONDS);
 	}
 
 	private void accept() {
@@ -90,7 +93,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// The endpoint was closed, which ends the test.
+			// The server socket was closed at the end of the test.
 		}
 	}
 
@@ -100,7 +103,7 @@
 			while (true) {
 				String request = readRequest(input);
 				if (request == null) {
-					this.ends.add("closed");
+					this.connectionEnds.add("closed");
 					return;
 				}
 				this.requests.add(request);
@@ -114,7 +117,7 @@
 			}
 		}
 		catch (IOException ex) {
-			this.ends.add("reset");
+			this.connectionEnds.add("reset");
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -150,7 +153,7 @@
 	}
 
 	/**
-	 * What an endpoint does with a request.
+	 * Handles a request.
 	 */
 	interface Script {
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/EventSplitterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/SseEventSplitterTests.java
@@ -8,44 +8,44 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatIllegalStateException;
 
-class EventSplitterTests {
+class SseEventSplitterTests {
 
-	private final EventSplitter splitter = new EventSplitter(null);
+	private final SseEventSplitter splitter = new SseEventSplitter(null);
 
 	@Test
-	void passesWholeEventsOnlyHoweverTheBytesCome() {
+	void emitsOnlyCompleteEventsForAnyByteBoundaries() {
 		String stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
-		StringBuilder passed = new StringBuilder();
+		StringBuilder emitted = new StringBuilder();
 		for (int i = 0; i < stream.length(); i++) {
 			String event = read(stream.substring(i, i + 1));
 			assertThat(event).satisfiesAnyOf((text) -> assertThat(text).isEmpty(),
 					(text) -> assertThat(text).endsWith("\n"));
-			passed.append(event);
+			emitted.append(event);
 		}
-		assertThat(passed).hasToString(stream);
-		assertThat(this.splitter.clean()).isTrue();
-		assertThat(this.splitter.lastEvent()).isEqualTo("3");
+		assertThat(emitted).hasToString(stream);
+		assertThat(this.splitter.isAtEventBoundary()).isTrue();
+		assertThat(this.splitter.lastEventId()).isEqualTo("3");
 	}
 
-	// An engine breaks off within an event; another one goes on after the last whole
-	// event, and repeats one that the caller has. The caller gets each event once.
+	// Guards against truncated or duplicate events: an engine fails within an event, and
+	// the engine that resumes the stream repeats an event that the caller has received.
 	@Test
-	void aTornEventIsDroppedAndARepeatedOneLeftOut() {
+	void partialEventIsDiscardedAndDuplicateEventIsSkipped() {
 		assertThat(read("id: 1\ndata: a\n\nid: 2\nda")).isEqualTo("id: 1\ndata: a\n\n");
-		assertThat(this.splitter.clean()).isFalse();
-		this.splitter.restart();
+		assertThat(this.splitter.isAtEventBoundary()).isFalse();
+		this.splitter.discardPartialEvent();
 		assertThat(read("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
 	}
 
 	@Test
-	void eventsWithoutIdentifiersPass() {
+	void eventsWithoutIdsAreEmitted() {
 		assertThat(read("data: a\n\n: note\n\n")).isEqualTo("data: a\n\n: note\n\n");
 	}
 
 	@Test
-	void anEventWithoutAnEndIsRefused() {
-		String much = "x".repeat(1 << 20);
-		read(much);
+	void eventBeyondTheMaximumSizeIsRejected() {
+		String longText = "x".repeat(1 << 20);
+		read(longText);
 		assertThatIllegalStateException().isThrownBy(() -> read("y")).withMessageContaining("1048576");
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/TestWords.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/TestHeaderCodec.java
@@ -10,9 +10,9 @@
 import org.banyancove.gateway.shared.HeaderCodec;
 
 /**
- * The headers of the stand-ins.
+ * A header codec with short header names for tests.
  */
-final class TestWords implements HeaderCodec {
+final class TestHeaderCodec implements HeaderCodec {
 
 	@Override
 	public CallerHeaders readCaller(HttpHeaders headers) {
