--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/AppendOutcome.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/AppendOutcome.java
@@ -1,22 +1,22 @@
 package org.banyancove.gateway.shared;
 
 /**
- * What became of an append that had an answer.
+ * The outcome of an append for which the store sent a response.
  */
 public sealed interface AppendOutcome {
 
 	/**
 	 * The record was appended.
 	 *
-	 * @param offset its place
+	 * @param offset the offset of the record
 	 */
 	record Appended(long offset) implements AppendOutcome {
 	}
 
 	/**
-	 * The topic did not end where it was said to; nothing was appended.
+	 * The topic does not end at the expected offset; nothing was appended.
 	 *
-	 * @param end where it ends
+	 * @param end the current end offset
 	 */
 	record Moved(long end) implements AppendOutcome {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/CallerHeaders.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/CallerHeaders.java
@@ -6,19 +6,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a caller states of its request.
+ * The request metadata that a caller sends in headers.
  *
- * @param requestId the identifier of this request, or {@code null} if it has none
- * @param deadline how long the caller will wait, or {@code null} if it is not stated
- * @param key the key of its client account, or {@code null}
- * @param lastEvent the event after which a stream is to go on, or {@code null}
- * @param prompt its prompt
+ * @param requestId the request id, or {@code null} if there is none
+ * @param deadline the remaining time that the caller waits, or {@code null} if it is not
+ * stated
+ * @param key the key of the client account, or {@code null}
+ * @param lastEvent the id of the event after which to resume a stream, or {@code null}
+ * @param prompt the prompt
  */
 public record CallerHeaders(@Nullable String requestId, @Nullable Duration deadline, @Nullable String key,
 		@Nullable String lastEvent, Prompt prompt) {
 
 	/**
-	 * Creates the headers.
+	 * Creates the metadata.
 	 * @throws IllegalArgumentException if {@code deadline} is negative
 	 */
 	public CallerHeaders {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/Duties.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/Duties.java
@@ -8,29 +8,29 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * The calls that one gateway makes for all.
+ * The platform calls that one gateway, the lease holder, makes on behalf of all gateways.
  */
 public interface Duties {
 
 	/**
-	 * Reports the requests that began to run in a window.
-	 * @param fence the number of the lease under which it is done
-	 * @param window the window's number
-	 * @param counts the requests of each client account
-	 * @return whether the report was taken; {@code false} if it may be sent again
+	 * Reports the number of requests that began to run in a window.
+	 * @param fence the fencing token of the lease
+	 * @param window the window number
+	 * @param counts the number of requests by client account
+	 * @return whether the report was accepted; {@code false} if it may be retried
 	 */
 	CompletableFuture<Boolean> reportUsage(long fence, long window, Map<AccountName, Long> counts);
 
 	/**
-	 * Orders a number of endpoints.
-	 * @param fence the number of the lease under which it is done
+	 * Sets the desired number of endpoints.
+	 * @param fence the fencing token of the lease
 	 * @param service the service
-	 * @param zone the data centre
-	 * @param reclaimable whether the order is for endpoints that may be taken away
-	 * @param count how many there are to be
-	 * @return whether the order was taken
+	 * @param dataCenter the data centre
+	 * @param reclaimable whether the order is for endpoints on reclaimable VMs
+	 * @param count the desired number
+	 * @return whether the order was accepted
 	 */
-	CompletableFuture<Boolean> orderEndpoints(long fence, ServiceName service, DataCenterName zone, boolean reclaimable,
-			int count);
+	CompletableFuture<Boolean> orderEndpoints(long fence, ServiceName service, DataCenterName dataCenter,
+			boolean reclaimable, int count);
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/EndpointCall.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/EndpointCall.java
@@ -8,23 +8,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the gateway adds to a request for the endpoint.
+ * The request metadata that the gateway sends to an endpoint.
  *
- * @param endpoint the endpoint that is meant
- * @param remaining how long the caller still waits, or {@code null} if it didn't say
+ * @param endpoint the intended endpoint
+ * @param remaining the remaining time that the caller waits, or {@code null} if it is not
+ * stated
  * @param account the client account, or {@code null} for an anonymous request
- * @param urgency from 0, the most urgent, to 9; {@code null} where the service ranks
- * nothing
- * @param lastEvent the event after which a stream is to go on, or {@code null}
- * @param prefixSource where the endpoint is to copy the shared parts of the prompt from,
- * or {@code null}
+ * @param urgency the request priority, from 0 (highest) to 9 (lowest), or {@code null} if
+ * the service does not prioritize requests
+ * @param lastEvent the id of the event after which to resume a stream, or {@code null}
+ * @param prefixSource the address from which the endpoint can copy the cached prefixes of
+ * the prompt, or {@code null}
  */
 public record EndpointCall(EndpointId endpoint, @Nullable Duration remaining, @Nullable AccountName account,
 		@Nullable Integer urgency, @Nullable String lastEvent, @Nullable InetSocketAddress prefixSource) {
 
 	/**
-	 * Creates the call.
-	 * @throws IllegalArgumentException if {@code urgency} is out of its range
+	 * Creates the metadata.
+	 * @throws IllegalArgumentException if {@code urgency} is not from 0 to 9
 	 */
 	public EndpointCall {
 		if (urgency != null && (urgency < 0 || urgency > 9)) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/EndpointHeaders.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/EndpointHeaders.java
@@ -4,14 +4,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an endpoint reports beside an answer.
+ * The response metadata that an endpoint sends in headers.
  *
- * @param requestId the request that it answers, or {@code null} if it is not stated
- * @param sealed whether the answer carries the endpoint's own seal
- * @param notRun whether it states that the request was not run
- * @param load its load, or {@code null} if it is not stated
- * @param rateLimit the requests a second that it accepts from all gateways together, or
- * {@code null} if it names no limit
+ * @param requestId the id of the request, or {@code null} if it is not stated
+ * @param sealed whether the response has the seal that shows that the endpoint itself
+ * produced it
+ * @param notRun whether the endpoint states that the request was not run
+ * @param load the load of the endpoint, or {@code null} if it is not stated
+ * @param rateLimit the requests per second that the endpoint accepts from all gateways
+ * together, or {@code null} if there is no limit
  */
 public record EndpointHeaders(@Nullable String requestId, boolean sealed, boolean notRun, @Nullable LoadReport load,
 		@Nullable Double rateLimit) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/HeaderCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/HeaderCodec.java
@@ -3,36 +3,35 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Reads and writes the headers by which callers, gateways and endpoints understand each
- * other.
+ * Reads and writes the header fields that callers, gateways and endpoints exchange.
  */
 public interface HeaderCodec {
 
 	/**
-	 * Reads what a caller states of its request.
-	 * @param headers the request's headers
-	 * @return what they say; a value that cannot be read counts as absent
+	 * Reads the metadata of a caller's request.
+	 * @param headers the request headers
+	 * @return the metadata; a value that cannot be parsed counts as absent
 	 */
 	CallerHeaders readCaller(HttpHeaders headers);
 
 	/**
-	 * Returns whether a caller's header goes on to the endpoint.
-	 * @param name the header's name
-	 * @return {@code false} for those that only the gateway may set
+	 * Returns whether a caller's header is forwarded to the endpoint.
+	 * @param name the header name
+	 * @return {@code false} for headers that only the gateway may set
 	 */
 	boolean passesOn(String name);
 
 	/**
-	 * Adds what the gateway passes to an endpoint.
-	 * @param headers the headers to add to
-	 * @param call what to pass
+	 * Adds the metadata of a request to an endpoint.
+	 * @param headers the request headers
+	 * @param call the metadata to add
 	 */
 	void writeCall(HttpHeaders headers, EndpointCall call);
 
 	/**
-	 * Reads what an endpoint says beside an answer.
-	 * @param headers the answer's headers
-	 * @return what they say
+	 * Reads the metadata of an endpoint's response.
+	 * @param headers the response headers
+	 * @return the metadata
 	 */
 	EndpointHeaders readEndpoint(HttpHeaders headers);
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/RecordCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/RecordCodec.java
@@ -8,57 +8,57 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the records that others write, and writes those that others read.
+ * Reads the records of operators and endpoints, and writes status records for operators.
  */
 public interface RecordCodec {
 
 	/**
 	 * Reads a configuration.
-	 * @param value the record's content
+	 * @param value the record value
 	 * @return the configuration
-	 * @throws org.banyancove.core.error.BanyancoveException if it cannot be read
+	 * @throws org.banyancove.core.error.BanyancoveException if the value is invalid
 	 */
 	Configuration readConfiguration(byte[] value);
 
 	/**
-	 * Returns whether a record holds the configuration.
-	 * @param key the record's key
-	 * @return whether it does
+	 * Returns whether a key is that of the configuration.
+	 * @param key the record key
+	 * @return {@code true} for the key of the configuration
 	 */
 	boolean isConfiguration(String key);
 
 	/**
-	 * Reads an order to move a service to another version.
-	 * @param key the record's key
-	 * @param value its content
-	 * @param offset its place in the topic
-	 * @return the order, or {@code null} if the record holds something else
-	 * @throws org.banyancove.core.error.BanyancoveException if it cannot be read
+	 * Reads an order to roll out another version of a service.
+	 * @param key the record key
+	 * @param value the record value
+	 * @param offset the offset in the topic
+	 * @return the order, or {@code null} if the record is of another kind
+	 * @throws org.banyancove.core.error.BanyancoveException if the value is invalid
 	 */
 	@Nullable RolloutOrder readRollout(String key, byte[] value, long offset);
 
 	/**
-	 * Writes what operators read of a rollout.
+	 * Writes the status of a rollout for operators.
 	 * @param rollout the rollout
-	 * @return the record's key and content
+	 * @return the key and value of the record
 	 */
 	StatusRecord writeStatus(Rollout rollout);
 
 	/**
-	 * Reads what an endpoint reports of itself.
-	 * @param id the endpoint
-	 * @param value the record's content
-	 * @return the entry
-	 * @throws org.banyancove.core.error.BanyancoveException if it names no endpoint to
-	 * use
+	 * Reads the registration of an endpoint.
+	 * @param id the endpoint id
+	 * @param value the record value
+	 * @return the endpoint entry
+	 * @throws org.banyancove.core.error.BanyancoveException if it describes no usable
+	 * endpoint
 	 */
 	EndpointEntry readEndpoint(EndpointId id, byte[] value);
 
 	/**
-	 * A record that operators read.
+	 * A status record for operators.
 	 *
-	 * @param key its key
-	 * @param value its content
+	 * @param key the record key
+	 * @param value the record value
 	 */
 	@SuppressWarnings("ArrayRecordComponent")
 	record StatusRecord(String key, byte[] value) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SharedTopics.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SharedTopics.java
@@ -6,46 +6,46 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's store, as gateways use it.
+ * A client of the platform's topic store.
  * <p>
- * Futures complete on the event loop's thread. One that completes exceptionally leaves
- * open whether the call was carried out.
+ * Futures complete on the event loop thread. If one completes exceptionally, the outcome
+ * of the call is unknown.
  */
 public interface SharedTopics {
 
 	/**
-	 * Reads the newest record of each key.
+	 * Reads the latest record of each key.
 	 * @param topic the topic
-	 * @param after the key after which to go on, or {@code null} to begin
-	 * @return a page of the records
+	 * @param afterKey the key after which to continue, or {@code null} for the first page
+	 * @return a page of records
 	 */
-	CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after);
+	CompletableFuture<TopicPage> newest(Topic topic, @Nullable String afterKey);
 
 	/**
-	 * Reads what was appended since.
+	 * Reads the records appended from an offset on.
 	 * @param topic the topic
-	 * @param from the offset to begin at
-	 * @param wait how long the store may wait for something new
-	 * @return the records, none if there is nothing new
+	 * @param fromOffset the first offset to read
+	 * @param maximumWait how long the store may wait for new records (long polling)
+	 * @return a page of records; empty if there are no new ones
 	 */
-	CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait);
+	CompletableFuture<TopicPage> changes(Topic topic, long fromOffset, Duration maximumWait);
 
 	/**
 	 * Appends a record.
 	 * @param topic the topic
-	 * @param key the record's key
-	 * @param value its content
-	 * @return what became of it
+	 * @param key the record key
+	 * @param value the record value
+	 * @return the outcome
 	 */
 	CompletableFuture<AppendOutcome> append(Topic topic, String key, byte[] value);
 
 	/**
-	 * Appends a record if the topic still ends where the writer last saw its end.
+	 * Appends a record if the topic ends at an expected offset (compare-and-append).
 	 * @param topic the topic
-	 * @param key the record's key
-	 * @param value its content
-	 * @param expectedEnd the offset at which the topic must end
-	 * @return what became of it
+	 * @param key the record key
+	 * @param value the record value
+	 * @param expectedEnd the end offset that the topic must have
+	 * @return the outcome
 	 */
 	CompletableFuture<AppendOutcome> appendAt(Topic topic, String key, byte[] value, long expectedEnd);
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SteadyClock.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SteadyClock.java
@@ -1,14 +1,14 @@
 package org.banyancove.gateway.shared;
 
 /**
- * A clock that never jumps; only differences of its readings mean anything.
+ * A monotonic clock. Only differences between its readings are meaningful.
  */
 @FunctionalInterface
 public interface SteadyClock {
 
 	/**
-	 * Returns the present reading.
-	 * @return nanoseconds since some fixed moment
+	 * Returns the current reading.
+	 * @return the time since an arbitrary origin, in ns
 	 */
 	long nanos();
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/Topic.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/Topic.java
@@ -1,23 +1,24 @@
 package org.banyancove.gateway.shared;
 
 /**
- * The topics of shared state, each a log in which the newest record of a key counts.
+ * The topics of shared state. Each is a log in which the latest record of a key
+ * supersedes the earlier ones.
  */
 public enum Topic {
 
-	/** What operators configure. */
+	/** The configuration and rollout orders of operators. */
 	CONFIGURATION,
 
-	/** What endpoints say of themselves. */
+	/** The registrations of endpoints. */
 	ENDPOINTS,
 
-	/** What gateways say of themselves. */
+	/** The registrations of gateways. */
 	GATEWAYS,
 
-	/** What operators read of what was done. */
+	/** The status reports for operators. */
 	STATUS,
 
-	/** Who does the duties that one gateway does for all. */
+	/** The lease of the gateway that makes calls on behalf of all gateways. */
 	LEASES
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicPage.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicPage.java
@@ -5,12 +5,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A part of a topic.
+ * A page of records of a topic.
  *
- * @param records its records
- * @param next where to go on reading changes
- * @param more the key after which more is to be read first, or {@code null}
- * @param historyLost whether changes were dropped, so that the whole has to be read again
+ * @param records the records
+ * @param next the offset from which to read further changes
+ * @param more the key after which to read the next page, or {@code null} if this is the
+ * last page
+ * @param historyLost whether changes were dropped, so that the latest record of each key
+ * must be read again
  */
 public record TopicPage(List<TopicRecord> records, long next, @Nullable String more, boolean historyLost) {
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicRecord.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicRecord.java
@@ -3,11 +3,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One record of a topic.
+ * A record of a topic.
  *
- * @param offset its place in the topic
- * @param key its key
- * @param value its content, or {@code null} where the key was taken out
+ * @param offset the offset in the topic
+ * @param key the record key
+ * @param value the record value, or {@code null} if the key was deleted
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record TopicRecord(long offset, String key, byte @Nullable [] value) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/package-info.java
@@ -1,7 +1,9 @@
 /**
- * The ports to the platform: shared topics, duties and the words of headers.
+ * The ports to the platform: topics, the calls of the lease holder, and header and record
+ * codecs.
  * <p>
- * An adapter implements them; nothing here names the platform's formats.
+ * An adapter implements them; nothing in this package depends on the formats of the
+ * platform.
  */
 @NullMarked
 package org.banyancove.gateway.shared;
