--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ExchangeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ExchangeTests.java
@@ -53,11 +53,11 @@
 
 	private static final DataCenterName DATA_CENTER = new DataCenterName("zone");
 
-	private static final String COMPLETE_RESPONSE = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ncontent-length: 5\r\n\r\nhello";
+	private static final String COMPLETE = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ncontent-length: 5\r\n\r\nhello";
 
-	private static final String FAILED_RESPONSE = "HTTP/1.1 500 Failed\r\nid: ID\r\nseal: s\r\ncontent-length: 4\r\n\r\noops";
+	private static final String FAILED = "HTTP/1.1 500 Failed\r\nid: ID\r\nseal: s\r\ncontent-length: 4\r\n\r\noops";
 
-	private static final String NOT_RUN_RESPONSE = "HTTP/1.1 503 Full\r\nid: ID\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n";
+	private static final String NOT_RUN = "HTTP/1.1 503 Full\r\nid: ID\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n";
 
 	private static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\nid: ID\r\nseal: s\r\ntransfer-encoding: chunked\r\n\r\n";
 
@@ -132,7 +132,7 @@
 
 	@Test
 	void forwardsTheRequestAndTheCompleteResponse() throws Exception {
-		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE);
 		try (Caller caller = new Caller()) {
 			caller.send(lines("POST /once/x?y=%20z HTTP/1.1", "host: host", "id: 1", "other: o", "key: secret",
 					"transfer-encoding: chunked", "", "4", "body", "0", "", ""));
@@ -152,8 +152,8 @@
 	// started to drain while the connection was being established.
 	@Test
 	void requestIsSentToAnotherEndpointIfItsEndpointDrainsDuringConnect() throws Exception {
-		ScriptedEndpoint first = endpoint("a").thenRespond(COMPLETE_RESPONSE);
-		ScriptedEndpoint second = endpoint("b").thenRespond(COMPLETE_RESPONSE);
+		ScriptedEndpoint first = endpoint("a").thenRespond(COMPLETE);
+		ScriptedEndpoint second = endpoint("b").thenRespond(COMPLETE);
 		EndpointEntry draining = new EndpointEntry(new EndpointId("a"), SERVICE, "v1", first.address(), DATA_CENTER, 10,
 				true, false, 1);
 		AtomicInteger checks = new AtomicInteger();
@@ -174,8 +174,7 @@
 	// Guards against callers that wait for an endpoint whose rate limit is exhausted.
 	@Test
 	void requestBeyondTheRateLimitOfAllEndpointsIsRejectedWithRetryAfter() throws Exception {
-		endpoint("a").thenRespond(COMPLETE_RESPONSE.replace("seal: s", "seal: s\r\nrate-limit: 0.5"))
-			.thenRespond(COMPLETE_RESPONSE);
+		endpoint("a").thenRespond(COMPLETE.replace("seal: s", "seal: s\r\nrate-limit: 0.5")).thenRespond(COMPLETE);
 		try (Caller caller = new Caller()) {
 			caller.send(lines("GET /again/x HTTP/1.1", "host: host", "id: 1", "", ""));
 			assertThat(caller.read().status()).isEqualTo(200);
@@ -190,7 +189,7 @@
 	// paused.
 	@Test
 	void requestWaitsUntilTheEndpointsAreCurrent() throws Exception {
-		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE);
 		this.endpointsCurrent = () -> false;
 		try (Caller caller = new Caller()) {
 			caller.send(lines("GET /again/x HTTP/1.1", "host: host", "id: 1", "", ""));
@@ -206,10 +205,9 @@
 	// Its caller must receive the response that carries its own request id.
 	@Test
 	void duplicateResponseIsNotMatchedToTheNextRequest() throws Exception {
-		endpoint("a").thenRespond(COMPLETE_RESPONSE)
+		endpoint("a").thenRespond(COMPLETE)
 			.then((connection, id) -> ScriptedEndpoint.write(connection,
-					COMPLETE_RESPONSE.replace("ID", "1").replace("hello", "stale")
-							+ COMPLETE_RESPONSE.replace("ID", id)));
+					COMPLETE.replace("ID", "1").replace("hello", "stale") + COMPLETE.replace("ID", id)));
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").body()).isEqualTo("hello");
 			assertThat(caller.call("POST /once/ HTTP/1.1", "2").body()).isEqualTo("hello");
@@ -231,8 +229,8 @@
 
 	@Test
 	void repeatableRequestIsRetriedOnAnotherEndpointAfterAFailure() throws Exception {
-		endpoint("a").thenRespond(FAILED_RESPONSE).thenRespond(COMPLETE_RESPONSE);
-		endpoint("b").thenRespond(COMPLETE_RESPONSE).thenRespond(COMPLETE_RESPONSE);
+		endpoint("a").thenRespond(FAILED).thenRespond(COMPLETE);
+		endpoint("b").thenRespond(COMPLETE).thenRespond(COMPLETE);
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("GET /again/ HTTP/1.1", "1").status()).isEqualTo(200);
 			assertThat(caller.call("GET /again/ HTTP/1.1", "2").status()).isEqualTo(200);
@@ -241,7 +239,7 @@
 
 	@Test
 	void endpointErrorResponseIsForwardedUnchanged() throws Exception {
-		endpoint("a").thenRespond(FAILED_RESPONSE);
+		endpoint("a").thenRespond(FAILED);
 		try (Caller caller = new Caller()) {
 			Response response = caller.call("POST /once/ HTTP/1.1", "1");
 			assertThat(response.status()).isEqualTo(500);
@@ -252,7 +250,7 @@
 
 	@Test
 	void requestThatTheEndpointRejectedWithoutRunningGetsRetryAfter() throws Exception {
-		endpoint("a").thenRespond(NOT_RUN_RESPONSE);
+		endpoint("a").thenRespond(NOT_RUN);
 		try (Caller caller = new Caller()) {
 			Response response = caller.call("POST /once/ HTTP/1.1", "1");
 			assertThat(response.status()).isEqualTo(503);
@@ -274,7 +272,7 @@
 	@Test
 	void unsentNonRepeatableRequestIsSentToAnotherEndpoint() throws Exception {
 		endpoint("a").close();
-		endpoint("b").thenRespond(COMPLETE_RESPONSE).thenRespond(COMPLETE_RESPONSE);
+		endpoint("b").thenRespond(COMPLETE).thenRespond(COMPLETE);
 		try (Caller caller = new Caller()) {
 			assertThat(caller.call("POST /once/ HTTP/1.1", "1").status()).isEqualTo(200);
 			assertThat(caller.call("POST /once/ HTTP/1.1", "2").status()).isEqualTo(200);
@@ -380,7 +378,7 @@
 	// body can contain another request. Neither is forwarded.
 	@Test
 	void requestWithContentLengthAndChunkedEncodingIsRejected() throws Exception {
-		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		ScriptedEndpoint endpoint = endpoint("a").thenRespond(COMPLETE);
 		try (Caller caller = new Caller()) {
 			caller.send(lines("POST /once/ HTTP/1.1", "host: host", "id: 1", "content-length: 5",
 					"transfer-encoding: chunked", "", "0", "", "POST /once/ HTTP/1.1", "host: host", "id: 2", "", ""));
@@ -403,8 +401,7 @@
 
 	@Test
 	void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-		endpoint("a").thenRespond(COMPLETE_RESPONSE.replace("hello", "first"))
-			.thenRespond(COMPLETE_RESPONSE.replace("hello", "again"));
+		endpoint("a").thenRespond(COMPLETE.replace("hello", "first")).thenRespond(COMPLETE.replace("hello", "again"));
 		try (Caller caller = new Caller()) {
 			String request = "POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ncontent-length: 0\r\n\r\n";
 			caller.send(request + request.replace("id: 1", "id: 2"));
@@ -427,7 +424,7 @@
 	// read.
 	@Test
 	void requestReceivedBeforeTheConfigurationIsDeferredUntilItIsRead() throws Exception {
-		endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		endpoint("a").thenRespond(COMPLETE);
 		RequestFlow startingDispatcher = newDispatcher();
 		this.serverChannel = newServer(startingDispatcher)
 			.listen(ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
@@ -444,7 +441,7 @@
 	// request is answered once the rest of the process has started.
 	@Test
 	void connectionEstablishedBeforeTheServerStartsIsServed() throws Exception {
-		endpoint("a").thenRespond(COMPLETE_RESPONSE);
+		endpoint("a").thenRespond(COMPLETE);
 		ServerSocketChannel socket = ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
 		try (Caller caller = new Caller(socket.getLocalAddress())) {
 			caller.send("POST /once/ HTTP/1.1\r\nhost: host\r\nid: 1\r\ncontent-length: 0\r\n\r\n");
