--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/AnswerTimes.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/AnswerTimes.java
@@ -1,11 +1,12 @@
 package org.banyancove.gateway.rollout;
 
 /**
- * What was measured of an answer.
+ * Measured times of an answer.
  *
- * @param untilFirst the time until the answer, or until a stream's first event, as a
- * multiple of what was expected of the prompt
- * @param perEvent the time between a stream's events, in ms; 0 of other answers
+ * @param relativeTimeToFirstEvent the time to the answer, or to the first event of a
+ * stream, as a multiple of the time expected for the prompt
+ * @param eventIntervalMillis the time between the events of a stream, in ms; 0 for other
+ * answers
  */
-public record AnswerTimes(double untilFirst, double perEvent) {
+public record AnswerTimes(double relativeTimeToFirstEvent, double eventIntervalMillis) {
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/CanaryAnalysis.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/CanaryAnalysis.java
@@ -3,77 +3,85 @@
 import java.util.Map;
 
 /**
- * Compares a candidate with the baseline over the same time: a sequential probability
- * ratio test (Wald) of its rate of bad answers, by route and over all routes.
+ * Compares a candidate with the baseline over the same time by a sequential probability
+ * ratio test (Wald) of its rate of bad answers, for each route and for all routes.
  * <p>
- * The baseline's own rate is the null hypothesis, so that what strikes both versions, a
- * data centre that is cut off or an endpoint that garbles its answers, accuses neither.
- * Routes are tested one by one since a fault of one route is diluted in the sum.
+ * The baseline's rate is the null hypothesis, so a fault that affects both versions, such
+ * as an unreachable data centre or an endpoint that corrupts its answers, is not
+ * attributed to the candidate. Routes are tested separately, since a fault of a single
+ * route is diluted in the total.
  */
 public final class CanaryAnalysis {
 
-	/** The same name for all routes together. */
+	/** Route name of the verdict on all routes together. */
 	private static final String ALL_ROUTES = "*";
 
-	/** How much worse an unhealthy version does at least, as a rate. */
-	private static final double MINIMUM_EXCESS = 0.06;
+	/** Minimum excess of an unhealthy version's rate over the baseline's rate. */
+	private static final double MINIMUM_RATE_EXCESS = 0.06;
 
-	/** The same as a multiple of the baseline's rate. */
-	private static final double MINIMUM_FACTOR = 2;
+	/** Minimum ratio of an unhealthy version's rate to the baseline's rate. */
+	private static final double MINIMUM_RATE_FACTOR = 2;
 
-	/** Rate that is assumed for a baseline without bad answers. */
+	/** Prior rate of bad answers of the baseline. */
 	private static final double PRIOR_RATE = 0.01;
 
-	/** Samples that the assumed rate counts for. */
+	/** Number of samples by which the prior rate is weighted. */
 	private static final double PRIOR_SAMPLES = 50;
 
 	private static final double MAXIMUM_RATE = 0.95;
 
-	/** Probability that a healthy version is taken for an unhealthy one. */
-	private static final double FALSE_ALARM = 0.001;
+	/** Probability that a healthy version is classified as unhealthy. */
+	private static final double FALSE_POSITIVE_PROBABILITY = 0.001;
 
-	/** Probability that an unhealthy version is taken for a healthy one. */
-	private static final double MISSED = 0.01;
+	/** Probability that an unhealthy version is classified as healthy. */
+	private static final double FALSE_NEGATIVE_PROBABILITY = 0.01;
 
-	private static final double REJECTS = Math.log((1 - MISSED) / FALSE_ALARM);
+	private static final double REJECTION_THRESHOLD = Math
+		.log((1 - FALSE_NEGATIVE_PROBABILITY) / FALSE_POSITIVE_PROBABILITY);
 
-	private static final double ACCEPTS = Math.log(MISSED / (1 - FALSE_ALARM));
+	private static final double ACCEPTANCE_THRESHOLD = Math
+		.log(FALSE_NEGATIVE_PROBABILITY / (1 - FALSE_POSITIVE_PROBABILITY));
 
-	/** A single failing endpoint or caller does not make a verdict. */
-	private static final int MINIMUM_BAD = 3;
+	/**
+	 * Minimum number of bad answers for a rejection, so that a single failing endpoint or
+	 * caller is not sufficient.
+	 */
+	private static final int MINIMUM_BAD_ANSWERS = 3;
 
 	/**
 	 * Returns the verdict on a candidate.
-	 * @param candidate what was counted of it, by route
-	 * @param baseline the same of the baseline
+	 * @param candidate the samples of the candidate, by route
+	 * @param baseline the samples of the baseline, by route
 	 * @return the verdict
 	 */
-	public Verdict judge(Map<String, VersionSamples> candidate, Map<String, VersionSamples> baseline) {
+	public Verdict evaluate(Map<String, VersionSamples> candidate, Map<String, VersionSamples> baseline) {
 		for (Map.Entry<String, VersionSamples> route : candidate.entrySet()) {
-			VersionSamples before = baseline.getOrDefault(route.getKey(), VersionSamples.NONE);
-			if (rejects(route.getValue(), before)) {
-				return new Verdict.Unhealthy(route.getKey(), route.getValue(), before);
+			VersionSamples baselineOfRoute = baseline.getOrDefault(route.getKey(), VersionSamples.NONE);
+			if (rejects(route.getValue(), baselineOfRoute)) {
+				return new Verdict.Unhealthy(route.getKey(), route.getValue(), baselineOfRoute);
 			}
 		}
-		VersionSamples all = VersionSamples.sum(candidate.values());
-		VersionSamples allBefore = VersionSamples.sum(baseline.values());
-		if (rejects(all, allBefore)) {
-			return new Verdict.Unhealthy(ALL_ROUTES, all, allBefore);
+		VersionSamples candidateTotal = VersionSamples.sum(candidate.values());
+		VersionSamples baselineTotal = VersionSamples.sum(baseline.values());
+		if (rejects(candidateTotal, baselineTotal)) {
+			return new Verdict.Unhealthy(ALL_ROUTES, candidateTotal, baselineTotal);
 		}
-		double ratio = likelihoodRatio(all, allBefore);
-		return (ratio <= ACCEPTS) ? new Verdict.Healthy() : new Verdict.Undecided(ratio);
+		double logRatio = logLikelihoodRatio(candidateTotal, baselineTotal);
+		return (logRatio <= ACCEPTANCE_THRESHOLD) ? new Verdict.Healthy() : new Verdict.Undecided(logRatio);
 	}
 
 	private static boolean rejects(VersionSamples candidate, VersionSamples baseline) {
-		return candidate.bad() >= MINIMUM_BAD && likelihoodRatio(candidate, baseline) >= REJECTS;
+		return candidate.bad() >= MINIMUM_BAD_ANSWERS && logLikelihoodRatio(candidate, baseline) >= REJECTION_THRESHOLD;
 	}
 
-	private static double likelihoodRatio(VersionSamples candidate, VersionSamples baseline) {
-		double usual = (baseline.bad() + PRIOR_RATE * PRIOR_SAMPLES) / (baseline.answered() + PRIOR_SAMPLES);
-		double healthy = Math.min(usual, MAXIMUM_RATE / MINIMUM_FACTOR);
-		double unhealthy = Math.min(MAXIMUM_RATE, Math.max(healthy + MINIMUM_EXCESS, healthy * MINIMUM_FACTOR));
-		long good = Math.max(0, candidate.answered() - candidate.bad());
-		return candidate.bad() * Math.log(unhealthy / healthy) + good * Math.log((1 - unhealthy) / (1 - healthy));
+	private static double logLikelihoodRatio(VersionSamples candidate, VersionSamples baseline) {
+		double baselineRate = (baseline.bad() + PRIOR_RATE * PRIOR_SAMPLES) / (baseline.answered() + PRIOR_SAMPLES);
+		double healthyRate = Math.min(baselineRate, MAXIMUM_RATE / MINIMUM_RATE_FACTOR);
+		double unhealthyRate = Math.min(MAXIMUM_RATE,
+				Math.max(healthyRate + MINIMUM_RATE_EXCESS, healthyRate * MINIMUM_RATE_FACTOR));
+		long goodAnswers = Math.max(0, candidate.answered() - candidate.bad());
+		return candidate.bad() * Math.log(unhealthyRate / healthyRate)
+				+ goodAnswers * Math.log((1 - unhealthyRate) / (1 - healthyRate));
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/ExposureLimits.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/ExposureLimits.java
@@ -1,18 +1,18 @@
 package org.banyancove.gateway.rollout;
 
 /**
- * How many requests an unproven version may get.
+ * Limits of the requests that a candidate may receive before its rollout is completed.
  *
- * @param share the part of the service's requests between an order and its deadline
- * @param slack requests beyond that part
+ * @param share the fraction of the service's requests between an order and its deadline
+ * @param slack the number of requests permitted beyond that fraction
  */
 public record ExposureLimits(double share, double slack) {
 
-	/** Where the platform states none. */
+	/** Default limits if the platform configures none. */
 	public static final ExposureLimits DEFAULT = new ExposureLimits(0.1, 0);
 
 	/**
-	 * Creates the limits.
+	 * Creates limits.
 	 * @throws IllegalArgumentException if {@code share} is not from 0 to 1, or
 	 * {@code slack} is negative
 	 */
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/Rollout.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/Rollout.java
@@ -3,35 +3,34 @@
 import java.time.Instant;
 
 /**
- * The state of a rollout, as the holder of the lease decided it.
+ * The state of a rollout as decided by the lease holder.
  *
  * @param order the order
- * @param baseline the version that served before; empty if there was none
- * @param orderedAt when the order was first read, by the time of day
- * @param revision grows with each decision, also from one holder to the next; a gateway
- * that sees it stand still has lost the holder
- * @param stage how far it is
+ * @param baseline the version that served before the order; empty if there was none
+ * @param orderedAt the wall-clock time at which the order was first read
+ * @param revision increases with each decision, also across lease holders; a gateway that
+ * observes no increase has lost contact with the holder
+ * @param stage the current stage
  */
 public record Rollout(RolloutOrder order, String baseline, Instant orderedAt, long revision, RolloutStage stage) {
 
 	/**
-	 * Returns the state after a decision.
-	 * @param newRevision its revision
-	 * @param newStage its stage
-	 * @return the state
+	 * Returns this rollout with a new decision.
+	 * @param newRevision the revision of the decision
+	 * @param newStage the decided stage
+	 * @return the updated state
 	 */
 	public Rollout with(long newRevision, RolloutStage newStage) {
 		return new Rollout(this.order, this.baseline, this.orderedAt, newRevision, newStage);
 	}
 
 	/**
-	 * Returns whether this state replaces another one of the same service. An ended
-	 * rollout does not go on: a holder that was cut off may still report it as in
-	 * progress.
+	 * Returns whether this state supersedes another one of the same service. An ended
+	 * rollout never resumes: a partitioned holder may still report it as in progress.
 	 * @param other the other state
-	 * @return whether this one is newer
+	 * @return {@code true} if this state is newer
 	 */
-	public boolean newerThan(Rollout other) {
+	public boolean isNewerThan(Rollout other) {
 		if (this.order.offset() != other.order.offset()) {
 			return this.order.offset() > other.order.offset();
 		}
@@ -47,12 +46,13 @@
 	 * @return the other state if it is newer, this one otherwise
 	 */
 	public Rollout newerOf(Rollout other) {
-		return other.newerThan(this) ? other : this;
+		return other.isNewerThan(this) ? other : this;
 	}
 
 	/**
-	 * Returns the part that outlives the holder: weights are decided anew.
-	 * @return the state without its weights
+	 * Returns the state that a successor of the lease holder adopts; it recomputes the
+	 * weights.
+	 * @return the state without weights
 	 */
 	public Rollout durable() {
 		return this.stage.settled() ? this : with(0, RolloutStage.InProgress.NO_TRAFFIC);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutController.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutController.java
@@ -6,45 +6,49 @@
 /**
  * Decides the next step of a rollout.
  * <p>
- * A version may turn out unhealthy late, or only under load. Until shortly before the
- * deadline the candidate therefore gets a part of the requests that it may get if it is
- * unhealthy, then the streams that would outlive the baseline; all requests move only at
- * the end, when what is left of that part lasts until the deadline.
+ * A version may become unhealthy late, or only under load. Until shortly before the
+ * deadline, the candidate therefore receives a fraction of the requests that an unhealthy
+ * version may receive, and then the streams that would outlive the baseline. All requests
+ * move only at the end, when the remaining exposure budget is sufficient until the
+ * deadline.
  * <p>
- * Pure: the time of day is passed in.
+ * Performs no I/O and reads no clock: the wall-clock time is passed in.
  */
 public final class RolloutController {
 
-	/** The largest part of the requests that the candidate gets while it is analysed. */
+	/** Maximum fraction of the requests sent to the candidate during the analysis. */
 	private static final double MAXIMUM_CANARY_WEIGHT = 0.2;
 
 	/**
-	 * Part of what the candidate may get before the last decision that is used: gateways'
-	 * counts are some hundred ms old, and those of gateways that died are missing.
+	 * Fraction of the permitted exposure that is used before the final decision: the
+	 * counts of the gateways are some hundred ms old, and those of failed gateways are
+	 * missing.
 	 */
-	private static final double USED_PART = 0.85;
+	private static final double EXPOSURE_BUDGET_FRACTION = 0.85;
 
-	/** Part of that for the canary; the rest is for streams. */
-	private static final double CANARY_PART = 0.65;
+	/** Fraction of the exposure budget for the canary; the remainder is for streams. */
+	private static final double CANARY_BUDGET_FRACTION = 0.65;
 
 	/**
-	 * Before the end, from when on streams that cannot be resumed go to the candidate.
+	 * Time before the final decision at which streams that cannot be resumed move to the
+	 * candidate.
 	 */
-	private static final Duration STREAM_LEAD = Duration.ofSeconds(3);
+	private static final Duration STREAM_MOVE_LEAD_TIME = Duration.ofSeconds(3);
 
 	/**
-	 * From the last decision to the deadline: two writes to the store, and the time in
-	 * which all gateways follow the decision.
+	 * Time from the final decision to the deadline: covers two writes to the store and
+	 * the propagation of the decision to all gateways.
 	 */
-	private static final Duration MAXIMUM_DECISION_LEAD = Duration.ofMillis(900);
+	private static final Duration MAXIMUM_DECISION_LEAD_TIME = Duration.ofMillis(900);
 
 	/**
-	 * The same as a part of a short rollout's duration. All requests go to the candidate
-	 * meanwhile, and count towards what an unhealthy version may get.
+	 * Maximum time from the final decision to the deadline, as a fraction of the
+	 * rollout's duration. All requests go to the candidate during this time, and count
+	 * towards the exposure limit of an unhealthy version.
 	 */
-	private static final double DECISION_PART = 0.075;
+	private static final double DECISION_LEAD_TIME_FRACTION = 0.075;
 
-	/** Fewer answers of a candidate say nothing. */
+	/** Minimum number of the candidate's answers for a meaningful verdict. */
 	private static final int MINIMUM_ANSWERS = 20;
 
 	private final CanaryAnalysis analysis = new CanaryAnalysis();
@@ -52,54 +56,55 @@
 	private final ExposureLimits limits;
 
 	/**
-	 * Creates the controller.
-	 * @param limits how many requests an unhealthy version may get
+	 * Creates a controller.
+	 * @param limits the limits of the requests that an unhealthy version may receive
 	 */
 	public RolloutController(ExposureLimits limits) {
 		this.limits = limits;
 	}
 
 	/**
-	 * Decides the next step.
-	 * @param rollout the rollout, in progress
-	 * @param fleet what all gateways counted
-	 * @param endpoints the endpoints of both versions that are not leaving
-	 * @param now the time of day
-	 * @return the step
+	 * Decides the next step of a rollout in progress.
+	 * @param rollout the rollout
+	 * @param fleet the aggregated samples of all gateways
+	 * @param endpoints the number of endpoints of both versions that are not draining
+	 * @param now the current wall-clock time
+	 * @return the next stage and the verdict on which it is based
 	 */
 	public Step next(Rollout rollout, RolloutReport fleet, VersionCounts endpoints, Instant now) {
 		long order = rollout.order().offset();
-		var candidate = fleet.byRoute(order, true);
-		var baseline = fleet.byRoute(order, false);
-		Verdict verdict = this.analysis.judge(candidate, baseline);
+		var candidate = fleet.samplesByRoute(order, true);
+		var baseline = fleet.samplesByRoute(order, false);
+		Verdict verdict = this.analysis.evaluate(candidate, baseline);
 		if (verdict instanceof Verdict.Unhealthy) {
 			return new Step(new RolloutStage.RolledBack(), verdict);
 		}
 		if (endpoints.baseline() == 0 && endpoints.candidate() > 0) {
 			return new Step(new RolloutStage.Completed(), verdict);
 		}
-		VersionSamples exposed = VersionSamples.sum(candidate.values());
-		Duration lead = decisionLead(rollout.order());
+		VersionSamples candidateSamples = VersionSamples.sum(candidate.values());
+		Duration leadTime = decisionLeadTime(rollout.order());
 		Duration untilDecision = Duration.between(now, rollout.orderedAt().plus(rollout.order().duration()))
-			.minus(lead);
+			.minus(leadTime);
 		if (!untilDecision.isPositive()) {
-			boolean proven = exposed.answered() >= MINIMUM_ANSWERS && likelyHealthy(verdict);
-			boolean completes = proven && endpoints.candidate() > 0;
+			boolean sufficientEvidence = candidateSamples.answered() >= MINIMUM_ANSWERS && likelyHealthy(verdict);
+			boolean completes = sufficientEvidence && endpoints.candidate() > 0;
 			return new Step(completes ? new RolloutStage.Completed() : new RolloutStage.RolledBack(), verdict);
 		}
 		if (endpoints.candidate() == 0) {
 			return new Step(RolloutStage.InProgress.NO_TRAFFIC, verdict);
 		}
-		long all = exposed.sent() + VersionSamples.sum(baseline.values()).sent();
-		double perSecond = all / Math.max(1, seconds(Duration.between(rollout.orderedAt(), now)));
-		double reserved = perSecond * seconds(lead);
-		double allowed = USED_PART * Math.max(0, this.limits.share() * all + this.limits.slack() - reserved);
-		return new Step(weights(exposed.sent(), allowed, perSecond, untilDecision), verdict);
+		long totalRequests = candidateSamples.sent() + VersionSamples.sum(baseline.values()).sent();
+		double requestsPerSecond = totalRequests / Math.max(1, seconds(Duration.between(rollout.orderedAt(), now)));
+		double reservedRequests = requestsPerSecond * seconds(leadTime);
+		double exposureBudget = EXPOSURE_BUDGET_FRACTION
+				* Math.max(0, this.limits.share() * totalRequests + this.limits.slack() - reservedRequests);
+		return new Step(weights(candidateSamples.sent(), exposureBudget, requestsPerSecond, untilDecision), verdict);
 	}
 
-	private static Duration decisionLead(RolloutOrder order) {
-		Duration part = Duration.ofNanos((long) (order.duration().toNanos() * DECISION_PART));
-		return (part.compareTo(MAXIMUM_DECISION_LEAD) < 0) ? part : MAXIMUM_DECISION_LEAD;
+	private static Duration decisionLeadTime(RolloutOrder order) {
+		Duration scaledLeadTime = Duration.ofNanos((long) (order.duration().toNanos() * DECISION_LEAD_TIME_FRACTION));
+		return (scaledLeadTime.compareTo(MAXIMUM_DECISION_LEAD_TIME) < 0) ? scaledLeadTime : MAXIMUM_DECISION_LEAD_TIME;
 	}
 
 	private static boolean likelyHealthy(Verdict verdict) {
@@ -110,12 +115,14 @@
 		};
 	}
 
-	private static RolloutStage.InProgress weights(long exposed, double allowed, double perSecond,
-			Duration untilDecision) {
-		double canarySeconds = Math.max(1, seconds(untilDecision.minus(STREAM_LEAD)));
-		double toCome = Math.max(1, perSecond * canarySeconds);
-		double weight = Math.clamp((CANARY_PART * allowed - exposed) / toCome, 0, MAXIMUM_CANARY_WEIGHT);
-		boolean movesStreams = untilDecision.compareTo(STREAM_LEAD) <= 0 && exposed < allowed;
+	private static RolloutStage.InProgress weights(long candidateRequests, double exposureBudget,
+			double requestsPerSecond, Duration untilDecision) {
+		double canarySeconds = Math.max(1, seconds(untilDecision.minus(STREAM_MOVE_LEAD_TIME)));
+		double expectedRequests = Math.max(1, requestsPerSecond * canarySeconds);
+		double weight = Math.clamp((CANARY_BUDGET_FRACTION * exposureBudget - candidateRequests) / expectedRequests, 0,
+				MAXIMUM_CANARY_WEIGHT);
+		boolean movesStreams = untilDecision.compareTo(STREAM_MOVE_LEAD_TIME) <= 0
+				&& candidateRequests < exposureBudget;
 		return new RolloutStage.InProgress(weight, movesStreams ? 1 : weight);
 	}
 
@@ -126,17 +133,17 @@
 	/**
 	 * A decision and its reason.
 	 *
-	 * @param stage the stage from now on
-	 * @param verdict what the analysis says
+	 * @param stage the new stage
+	 * @param verdict the verdict of the canary analysis
 	 */
 	public record Step(RolloutStage stage, Verdict verdict) {
 	}
 
 	/**
-	 * Endpoints of a service that are not leaving.
+	 * The number of endpoints of a service that are not draining.
 	 *
-	 * @param baseline those of other versions than the candidate
-	 * @param candidate those of the candidate
+	 * @param baseline the number of endpoints of other versions than the candidate
+	 * @param candidate the number of endpoints of the candidate
 	 */
 	public record VersionCounts(int baseline, int candidate) {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutOrder.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutOrder.java
@@ -8,14 +8,15 @@
  * An operator's order to move a service's traffic to another version.
  *
  * @param service the service
- * @param candidate the version to move to
- * @param duration the time from the order until it is to be completed
- * @param offset its place in the operators' topic; a later order replaces an earlier one
+ * @param candidate the version to which the traffic moves
+ * @param duration the time from the order to its deadline
+ * @param offset its offset in the operators' topic; a later order supersedes an earlier
+ * one
  */
 public record RolloutOrder(ServiceName service, String candidate, Duration duration, long offset) {
 
 	/**
-	 * Creates the order.
+	 * Creates an order.
 	 * @throws IllegalArgumentException if {@code candidate} is blank or {@code duration}
 	 * is not positive
 	 */
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutReport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutReport.java
@@ -7,10 +7,10 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * What gateways report of rollouts.
+ * The state and samples of rollouts that gateways report.
  *
  * @param rollouts the newest state of each service's rollout
- * @param samples what was counted of the requests at its versions
+ * @param samples the samples of the requests at its versions
  */
 public record RolloutReport(List<Rollout> rollouts, Map<SampleKey, VersionSamples> samples) {
 
@@ -18,7 +18,7 @@
 	public static final RolloutReport NONE = new RolloutReport(List.of(), Map.of());
 
 	/**
-	 * Creates the report.
+	 * Creates a report.
 	 */
 	public RolloutReport {
 		rollouts = List.copyOf(rollouts);
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * Returns whether there is nothing to report.
-	 * @return whether it is empty
+	 * Returns whether this report is empty.
+	 * @return {@code true} if it has neither rollouts nor samples
 	 */
 	public boolean isEmpty() {
 		return this.rollouts.isEmpty() && this.samples.isEmpty();
@@ -35,8 +35,8 @@
 
 	/**
 	 * Adds another report.
-	 * @param other the other report
-	 * @return the newer states and the sums
+	 * @param other the report to add
+	 * @return the newer state of each rollout and the sums of the samples
 	 */
 	public RolloutReport plus(RolloutReport other) {
 		if (other.isEmpty()) {
@@ -49,35 +49,36 @@
 		this.rollouts.forEach((rollout) -> newest.put(rollout.order().service(), rollout));
 		other.rollouts.forEach((rollout) -> newest.merge(rollout.order().service(), rollout, Rollout::newerOf));
 		Map<SampleKey, VersionSamples> sums = new HashMap<>(this.samples);
-		other.samples.forEach((key, count) -> sums.merge(key, count, VersionSamples::plus));
+		other.samples.forEach((key, added) -> sums.merge(key, added, VersionSamples::plus));
 		return new RolloutReport(List.copyOf(newest.values()), sums);
 	}
 
 	/**
-	 * Subtracts what one gateway counted.
+	 * Subtracts the samples of one gateway.
 	 * @param other its report
-	 * @return the same states and what is left of the sums
+	 * @return the same states and the remaining samples
 	 */
 	public RolloutReport minus(RolloutReport other) {
 		if (isEmpty() || other.samples.isEmpty()) {
 			return this;
 		}
-		Map<SampleKey, VersionSamples> left = new HashMap<>(this.samples);
-		other.samples.forEach((key, count) -> left.computeIfPresent(key, (name, sum) -> sum.minus(count)));
-		return new RolloutReport(this.rollouts, left);
+		Map<SampleKey, VersionSamples> remaining = new HashMap<>(this.samples);
+		other.samples
+			.forEach((key, subtracted) -> remaining.computeIfPresent(key, (name, sum) -> sum.minus(subtracted)));
+		return new RolloutReport(this.rollouts, remaining);
 	}
 
 	/**
-	 * Returns what was counted for an order.
-	 * @param order the order's place
-	 * @param candidate whether of the candidate, or of the baseline
-	 * @return the counts by route
+	 * Returns the samples of an order.
+	 * @param order the offset of the order
+	 * @param candidate whether to return the samples of the candidate or of the baseline
+	 * @return the samples by route
 	 */
-	Map<String, VersionSamples> byRoute(long order, boolean candidate) {
+	Map<String, VersionSamples> samplesByRoute(long order, boolean candidate) {
 		Map<String, VersionSamples> byRoute = new HashMap<>();
-		this.samples.forEach((key, count) -> {
+		this.samples.forEach((key, versionSamples) -> {
 			if (key.order() == order && key.candidate() == candidate) {
-				byRoute.put(key.route(), count);
+				byRoute.put(key.route(), versionSamples);
 			}
 		});
 		return byRoute;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutTable.java
@@ -13,36 +13,37 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a gateway knows of rollouts: orders, the holder's decisions and its own samples.
+ * The state of all rollouts at a gateway: orders, the decisions of the lease holder, and
+ * the gateway's own samples.
  * <p>
- * Times are nanoseconds of the steady clock.
+ * Times are in nanoseconds of the monotonic clock.
  */
 public final class RolloutTable {
 
 	/**
-	 * Time without a newer decision after which the candidate gets nothing from here. A
-	 * gateway that is cut off would not learn of a rollback.
+	 * Time without a newer decision after which this gateway stops sending requests to
+	 * the candidate: a partitioned gateway would not receive a rollback.
 	 */
 	private static final Duration DECISION_TIMEOUT = Duration.ofMillis(2500);
 
 	private final Map<ServiceName, RolloutOrder> orders = new HashMap<>();
 
-	private final Map<ServiceName, Decided> decisions = new HashMap<>();
+	private final Map<ServiceName, TimedDecision> decisions = new HashMap<>();
 
-	private final Map<ServiceName, Set<String>> trusted = new HashMap<>();
+	private final Map<ServiceName, Set<String>> trustedVersions = new HashMap<>();
 
 	private final Map<SampleKey, VersionSamples> samples = new HashMap<>();
 
-	private final Map<ServiceName, SlownessDetector> detectors = new HashMap<>();
+	private final Map<ServiceName, SlowAnswerDetector> slowAnswerDetectors = new HashMap<>();
 
 	/**
-	 * Records an order.
+	 * Records an order, unless a newer one of its service is known.
 	 * @param order the order
-	 * @return whether it is new
+	 * @return {@code true} if the order is new
 	 */
 	public boolean ordered(RolloutOrder order) {
-		RolloutOrder known = this.orders.get(order.service());
-		if (known != null && known.offset() >= order.offset()) {
+		RolloutOrder newest = this.orders.get(order.service());
+		if (newest != null && newest.offset() >= order.offset()) {
 			return false;
 		}
 		this.orders.put(order.service(), order);
@@ -58,108 +59,110 @@
 	}
 
 	/**
-	 * Records decisions, of this gateway or of the one that holds the lease.
+	 * Applies the decisions of the lease holder that are newer than the known ones.
 	 * @param reported the decisions
-	 * @param now the present time
+	 * @param now the current time
 	 */
 	public void decided(Collection<Rollout> reported, long now) {
 		for (Rollout rollout : reported) {
 			ServiceName service = rollout.order().service();
 			ordered(rollout.order());
-			Decided known = this.decisions.get(service);
-			if (known == null || rollout.newerThan(known.rollout())) {
-				this.decisions.put(service, new Decided(rollout, now));
+			TimedDecision newest = this.decisions.get(service);
+			if (newest == null || rollout.isNewerThan(newest.rollout())) {
+				this.decisions.put(service, new TimedDecision(rollout, now));
 				if (rollout.stage().settled()) {
-					settle(rollout);
+					endRollout(rollout);
 				}
 			}
 		}
 	}
 
-	private void settle(Rollout rollout) {
+	private void endRollout(Rollout rollout) {
 		this.samples.keySet().removeIf((key) -> key.order() == rollout.order().offset());
-		this.detectors.remove(rollout.order().service());
+		this.slowAnswerDetectors.remove(rollout.order().service());
 		if (rollout.stage() instanceof RolloutStage.Completed) {
-			trustedOf(rollout.order().service()).add(rollout.order().candidate());
+			trustedVersionsOf(rollout.order().service()).add(rollout.order().candidate());
 		}
 	}
 
-	private Set<String> trustedOf(ServiceName service) {
-		return this.trusted.computeIfAbsent(service, (name) -> new HashSet<>());
+	private Set<String> trustedVersionsOf(ServiceName service) {
+		return this.trustedVersions.computeIfAbsent(service, (name) -> new HashSet<>());
 	}
 
 	/**
-	 * Returns the newest decision on a service.
+	 * Returns the newest decision on the newest order of a service.
 	 * @param service the service
-	 * @return the decision on its newest order, or {@code null} if there is none
+	 * @return the decision, or {@code null} if there is none
 	 */
 	public @Nullable Rollout decision(ServiceName service) {
-		Decided known = this.decisions.get(service);
+		TimedDecision newest = this.decisions.get(service);
 		RolloutOrder order = this.orders.get(service);
-		if (known == null || order == null || known.rollout().order().offset() != order.offset()) {
+		if (newest == null || order == null || newest.rollout().order().offset() != order.offset()) {
 			return null;
 		}
-		return known.rollout();
+		return newest.rollout();
 	}
 
 	/**
-	 * Returns whether a service's newest order is being carried out, or waits for it.
+	 * Returns whether the newest order of a service is pending or in progress.
 	 * @param service the service
-	 * @return whether it is not settled
+	 * @return {@code true} if the service has an order whose rollout has not ended
 	 */
 	public boolean inProgress(ServiceName service) {
-		Rollout known = decision(service);
-		return this.orders.containsKey(service) && (known == null || !known.stage().settled());
+		Rollout newest = decision(service);
+		return this.orders.containsKey(service) && (newest == null || !newest.stage().settled());
 	}
 
 	/**
-	 * Returns what may serve a request.
+	 * Chooses the versions that may serve a request.
 	 * @param service its service
-	 * @param endsWithBaseline whether it is a stream that is lost if its endpoint stops
-	 * @param draw a random number from 0 to 1; 1 keeps the request off a candidate
-	 * @param now the present time
-	 * @return the version
+	 * @param nonResumable whether it is a stream that cannot be resumed when its endpoint
+	 * stops
+	 * @param randomValue a random number from 0 to 1; 1 excludes a candidate in progress
+	 * @param now the current time
+	 * @return the eligible versions
 	 */
-	public VersionChoice choose(ServiceName service, boolean endsWithBaseline, double draw, long now) {
+	public VersionChoice choose(ServiceName service, boolean nonResumable, double randomValue, long now) {
 		RolloutOrder order = this.orders.get(service);
 		if (order == null) {
 			return new VersionChoice.Trusted();
 		}
-		Decided known = this.decisions.get(service);
-		if (known == null || known.rollout().order().offset() != order.offset()) {
+		TimedDecision newest = this.decisions.get(service);
+		if (newest == null || newest.rollout().order().offset() != order.offset()) {
 			return new VersionChoice.Baseline(order.candidate());
 		}
-		return switch (known.rollout().stage()) {
+		return switch (newest.rollout().stage()) {
 			case RolloutStage.Completed completed -> new VersionChoice.Candidate(order.candidate(), 1);
 			case RolloutStage.RolledBack rolledBack -> new VersionChoice.Baseline(order.candidate());
 			case RolloutStage.InProgress stage -> {
-				double weight = endsWithBaseline ? stage.streamWeight() : stage.weight();
-				boolean current = now - known.at() < DECISION_TIMEOUT.toNanos();
-				yield (current && draw < weight) ? new VersionChoice.Candidate(order.candidate(), weight)
+				double weight = nonResumable ? stage.streamWeight() : stage.weight();
+				boolean upToDate = now - newest.at() < DECISION_TIMEOUT.toNanos();
+				yield (upToDate && randomValue < weight) ? new VersionChoice.Candidate(order.candidate(), weight)
 						: new VersionChoice.Baseline(order.candidate());
 			}
 		};
 	}
 
 	/**
-	 * Returns whether a version served before any rollout, or after a completed one. One
-	 * that appears before its order is known gets nothing: the order may be on its way.
+	 * Returns whether a version is trusted, because it served before any rollout or its
+	 * rollout was completed. A version listed before its order is known receives no
+	 * requests, since the order may still be in flight.
 	 * @param service the service
 	 * @param version the version
-	 * @param listed all versions that are listed
-	 * @return whether requests may go to it without a rollout
+	 * @param listed all listed versions of the service
+	 * @return {@code true} if the version may serve requests without a rollout
 	 */
-	public boolean trusts(ServiceName service, String version, Set<String> listed) {
-		Set<String> known = trustedOf(service);
-		if (known.stream().noneMatch(listed::contains)) {
+	public boolean isTrusted(ServiceName service, String version, Set<String> listed) {
+		Set<String> trusted = trustedVersionsOf(service);
+		if (trusted.stream().noneMatch(listed::contains)) {
 			RolloutOrder order = this.orders.get(service);
-			listed.stream().filter((name) -> order == null || !name.equals(order.candidate())).forEach(known::add);
+			listed.stream().filter((name) -> order == null || !name.equals(order.candidate())).forEach(trusted::add);
 		}
-		return known.contains(version);
+		return trusted.contains(version);
 	}
 
 	/**
-	 * Counts a request that is sent.
+	 * Records a request as sent.
 	 * @param service its service
 	 * @param route its route
 	 * @param version the version of its endpoint
@@ -169,7 +172,7 @@
 	}
 
 	/**
-	 * Counts a request that has failed.
+	 * Records a request as failed.
 	 * @param service its service
 	 * @param route its route
 	 * @param version the version of its endpoint
@@ -179,50 +182,52 @@
 	}
 
 	/**
-	 * Counts a request that was answered.
+	 * Records a request as answered. A slow answer counts as bad.
 	 * @param service its service
 	 * @param route its route
 	 * @param version the version of its endpoint
-	 * @param times what was measured of it
+	 * @param times the measured times of its answer
 	 */
 	public void answered(ServiceName service, String route, String version, AnswerTimes times) {
 		RolloutOrder order = this.orders.get(service);
 		if (order == null || !inProgress(service)) {
 			return;
 		}
-		SlownessDetector detector = this.detectors.computeIfAbsent(service, (name) -> new SlownessDetector());
-		String first = route + " first";
-		String pace = route + " pace";
-		boolean slow = detector.slow(first, times.untilFirst()) || detector.slow(pace, times.perEvent());
+		SlowAnswerDetector detector = this.slowAnswerDetectors.computeIfAbsent(service,
+				(name) -> new SlowAnswerDetector());
+		String firstEventMeasure = route + " first";
+		String eventIntervalMeasure = route + " pace";
+		boolean slow = detector.isSlow(firstEventMeasure, times.relativeTimeToFirstEvent())
+				|| detector.isSlow(eventIntervalMeasure, times.eventIntervalMillis());
 		if (!version.equals(order.candidate())) {
-			detector.learn(first, times.untilFirst());
-			detector.learn(pace, times.perEvent());
+			detector.addBaseline(firstEventMeasure, times.relativeTimeToFirstEvent());
+			detector.addBaseline(eventIntervalMeasure, times.eventIntervalMillis());
 		}
 		count(service, route, version, new VersionSamples(0, 1, slow ? 1 : 0));
 	}
 
-	private void count(ServiceName service, String route, String version, VersionSamples added) {
+	private void count(ServiceName service, String route, String version, VersionSamples sample) {
 		RolloutOrder order = this.orders.get(service);
 		if (order != null && inProgress(service)) {
 			SampleKey key = new SampleKey(order.offset(), route, version.equals(order.candidate()));
-			this.samples.merge(key, added, VersionSamples::plus);
+			this.samples.merge(key, sample, VersionSamples::plus);
 		}
 	}
 
 	/**
-	 * Returns what this gateway reports.
-	 * @return the newest decisions and its own samples
+	 * Returns the newest decisions and this gateway's own samples.
+	 * @return the report
 	 */
 	public RolloutReport report() {
 		if (this.decisions.isEmpty() && this.samples.isEmpty()) {
 			return RolloutReport.NONE;
 		}
-		List<Rollout> newest = new ArrayList<>();
-		this.decisions.values().forEach((known) -> newest.add(known.rollout()));
-		return new RolloutReport(newest, this.samples);
+		List<Rollout> rollouts = new ArrayList<>();
+		this.decisions.values().forEach((newest) -> rollouts.add(newest.rollout()));
+		return new RolloutReport(rollouts, this.samples);
 	}
 
-	private record Decided(Rollout rollout, long at) {
+	private record TimedDecision(Rollout rollout, long at) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/SampleKey.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/SampleKey.java
@@ -1,11 +1,11 @@
 package org.banyancove.gateway.rollout;
 
 /**
- * What samples are counted by.
+ * The key by which samples are aggregated.
  *
- * @param order the place of the rollout's order
+ * @param order the offset of the rollout's order
  * @param route the route of the requests
- * @param candidate whether the candidate served them, or the baseline
+ * @param candidate whether the candidate or the baseline served them
  */
 public record SampleKey(long order, String route, boolean candidate) {
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/ServingEndpoints.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/ServingEndpoints.java
@@ -8,12 +8,12 @@
 import org.banyancove.gateway.endpoint.EndpointTable;
 
 /**
- * The endpoints that serve, by the versions that rollouts let them.
+ * The endpoints whose versions may serve requests according to the rollouts.
  */
 public final class ServingEndpoints {
 
-	/** No draw is as high, so that a request is kept off a candidate. */
-	private static final double BASELINE_ONLY = 1;
+	/** Random value that no candidate weight exceeds, which excludes a candidate. */
+	private static final double EXCLUDE_CANDIDATE = 1;
 
 	private final EndpointTable endpoints;
 
@@ -22,9 +22,9 @@
 	private final VersionFilter filter;
 
 	/**
-	 * Creates the endpoints.
+	 * Creates the endpoints of a gateway.
 	 * @param endpoints all endpoints
-	 * @param rollouts what is known of rollouts
+	 * @param rollouts the state of the rollouts
 	 */
 	public ServingEndpoints(EndpointTable endpoints, RolloutTable rollouts) {
 		this.endpoints = endpoints;
@@ -35,55 +35,57 @@
 	/**
 	 * Returns the endpoints that may serve a request.
 	 * @param service its service
-	 * @param endsWithBaseline whether it is a stream that is lost if its endpoint stops
-	 * @param draw a random number from 0 to 1
-	 * @param now the present time
-	 * @return the endpoints, those that are leaving included
+	 * @param nonResumable whether it is a stream that cannot be resumed when its endpoint
+	 * stops
+	 * @param randomValue a random number from 0 to 1
+	 * @param now the current time
+	 * @return the endpoints, including draining ones
 	 */
-	public List<Endpoint> forRequest(ServiceName service, boolean endsWithBaseline, double draw, long now) {
-		VersionChoice choice = this.rollouts.choose(service, endsWithBaseline, draw, now);
+	public List<Endpoint> forRequest(ServiceName service, boolean nonResumable, double randomValue, long now) {
+		VersionChoice choice = this.rollouts.choose(service, nonResumable, randomValue, now);
 		return this.filter.eligible(service, this.endpoints.listed(service), choice);
 	}
 
 	/**
-	 * Returns the endpoints that serve without a candidate that is not proven.
+	 * Returns the serving endpoints, excluding a candidate whose rollout is not
+	 * completed.
 	 * @param service the service
-	 * @param now the present time
+	 * @param now the current time
 	 * @return the endpoints
 	 */
 	public List<Endpoint> serving(ServiceName service, long now) {
-		return forRequest(service, false, BASELINE_ONLY, now);
+		return forRequest(service, false, EXCLUDE_CANDIDATE, now);
 	}
 
 	/**
 	 * Returns whether an endpoint accepts requests.
 	 * @param endpoint the endpoint
-	 * @return whether it is still listed and not draining
+	 * @return {@code true} if it is still listed and not draining
 	 */
 	public boolean accepts(Endpoint endpoint) {
 		return this.endpoints.get(endpoint.id()) == endpoint && !endpoint.entry().draining();
 	}
 
 	/**
-	 * Returns whether a rollout is replacing a service's endpoints.
+	 * Returns whether a rollout of a service is in progress.
 	 * @param service the service
-	 * @return whether one is in progress
+	 * @return {@code true} if its endpoints are being replaced
 	 */
 	public boolean changing(ServiceName service) {
 		return this.rollouts.inProgress(service);
 	}
 
 	/**
-	 * Records which versions are listed.
+	 * Records the listed versions of services.
 	 * @param services the services
 	 */
 	public void noteVersions(Collection<ServiceName> services) {
-		services.forEach((service) -> this.filter.listed(service, this.endpoints.listed(service)));
+		services.forEach((service) -> this.filter.recordVersions(service, this.endpoints.listed(service)));
 	}
 
 	/**
-	 * Returns what is known of rollouts.
-	 * @return the table
+	 * Returns the state of the rollouts.
+	 * @return the rollout table
 	 */
 	public RolloutTable rollouts() {
 		return this.rollouts;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/VersionChoice.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/VersionChoice.java
@@ -1,18 +1,18 @@
 package org.banyancove.gateway.rollout;
 
 /**
- * Which versions of a service may serve a request.
+ * The versions of a service that may serve a request.
  */
 public sealed interface VersionChoice {
 
-	/** Those that are trusted; there is no rollout. */
+	/** All trusted versions, if the service has no rollout. */
 	record Trusted() implements VersionChoice {
 	}
 
 	/**
-	 * Those that are trusted and are not the candidate.
+	 * All trusted versions except the candidate.
 	 *
-	 * @param candidate the candidate
+	 * @param candidate the excluded candidate
 	 */
 	record Baseline(String candidate) implements VersionChoice {
 	}
@@ -21,9 +21,9 @@
 	 * The candidate.
 	 *
 	 * @param candidate the candidate
-	 * @param endpointShare the part of its endpoints that serve. A canary's requests go
-	 * to few endpoints, each of which so carries the load that all will have later: some
-	 * faults show only under load
+	 * @param endpointShare the fraction of its endpoints that serve requests. The
+	 * requests of a canary go to few endpoints, so that each carries the load it will
+	 * have after the rollout: some faults occur only under load
 	 */
 	record Candidate(String candidate, double endpointShare) implements VersionChoice {
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/VersionFilter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/VersionFilter.java
@@ -13,23 +13,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds the endpoints whose version may serve a request.
+ * Filters the endpoints of a service by the versions that may serve a request.
  * <p>
- * Endpoints are listed far less often than requests are placed, so they are grouped by
- * version once for each list.
+ * The list of endpoints changes far less often than requests are placed, so the endpoints
+ * are grouped by version once per list.
  */
 public final class VersionFilter {
 
-	/** An endpoint more than its share of the requests needs, in case it fails. */
+	/** Minimum number of canary endpoints: one may fail. */
 	private static final int MINIMUM_CANARY_ENDPOINTS = 2;
 
 	private final RolloutTable table;
 
-	private final Map<ServiceName, Grouped> grouped = new HashMap<>();
+	private final Map<ServiceName, VersionGroups> groupsByService = new HashMap<>();
 
 	/**
-	 * Creates the filter.
-	 * @param table what is known of rollouts
+	 * Creates a filter.
+	 * @param table the state of the rollouts
 	 */
 	public VersionFilter(RolloutTable table) {
 		this.table = table;
@@ -39,85 +39,86 @@
 	 * Returns the endpoints that may serve a request.
 	 * @param service its service
 	 * @param listed the service's endpoints
-	 * @param choice which versions may serve it
-	 * @return the endpoints
+	 * @param choice the versions that may serve it
+	 * @return the eligible endpoints
 	 */
 	public List<Endpoint> eligible(ServiceName service, List<Endpoint> listed, VersionChoice choice) {
-		Grouped groups = groups(service, listed);
-		if (groups.single() && choice instanceof VersionChoice.Trusted) {
+		VersionGroups groups = groupsFor(service, listed);
+		if (groups.hasSingleVersion() && choice instanceof VersionChoice.Trusted) {
 			return listed;
 		}
 		return switch (choice) {
-			case VersionChoice.Trusted trusted -> trusted(service, groups, null);
-			case VersionChoice.Baseline baseline -> baseline(service, groups, baseline.candidate());
-			case VersionChoice.Candidate candidate -> candidate(service, groups, candidate);
+			case VersionChoice.Trusted trusted -> trustedEndpoints(service, groups, null);
+			case VersionChoice.Baseline baseline -> baselineEndpoints(service, groups, baseline.candidate());
+			case VersionChoice.Candidate candidate -> candidateEndpoints(service, groups, candidate);
 		};
 	}
 
 	/**
-	 * Records the endpoints of a service. The versions that are listed first are trusted,
-	 * also where no request came until another version appeared.
+	 * Records the versions of a service's endpoints. The versions listed first are
+	 * trusted, even if no request arrives before another version is listed.
 	 * @param service the service
 	 * @param listed its endpoints
 	 */
-	public void listed(ServiceName service, List<Endpoint> listed) {
-		groups(service, listed);
+	public void recordVersions(ServiceName service, List<Endpoint> listed) {
+		groupsFor(service, listed);
 	}
 
-	// The list is a new one whenever an endpoint changed.
+	// Compares identities since each change of an endpoint creates a new list.
 	@SuppressWarnings("ReferenceEquality")
-	private Grouped groups(ServiceName service, List<Endpoint> listed) {
-		Grouped known = this.grouped.get(service);
-		if (known != null && known.listed() == listed) {
-			return known;
+	private VersionGroups groupsFor(ServiceName service, List<Endpoint> listed) {
+		VersionGroups current = this.groupsByService.get(service);
+		if (current != null && current.listed() == listed) {
+			return current;
 		}
-		Grouped anew = new Grouped(listed,
+		VersionGroups updated = new VersionGroups(listed,
 				listed.stream().collect(Collectors.groupingBy((endpoint) -> endpoint.entry().version())));
-		this.grouped.put(service, anew);
-		Set<String> versions = anew.byVersion().keySet();
-		versions.forEach((version) -> this.table.trusts(service, version, versions));
-		return anew;
+		this.groupsByService.put(service, updated);
+		Set<String> versions = updated.byVersion().keySet();
+		versions.forEach((version) -> this.table.isTrusted(service, version, versions));
+		return updated;
 	}
 
-	private List<Endpoint> trusted(ServiceName service, Grouped groups, @Nullable String without) {
+	private List<Endpoint> trustedEndpoints(ServiceName service, VersionGroups groups, @Nullable String excluded) {
 		Set<String> versions = groups.byVersion().keySet();
 		List<Endpoint> eligible = new ArrayList<>();
 		groups.byVersion().forEach((version, endpoints) -> {
-			if (!version.equals(without) && this.table.trusts(service, version, versions)) {
+			if (!version.equals(excluded) && this.table.isTrusted(service, version, versions)) {
 				eligible.addAll(endpoints);
 			}
 		});
 		return eligible;
 	}
 
-	// Once the baseline has stopped, the candidate is all there is; a gateway that has
-	// just started may not know yet that the rollout is completed.
-	private List<Endpoint> baseline(ServiceName service, Grouped groups, String candidate) {
-		List<Endpoint> eligible = trusted(service, groups, candidate);
-		boolean undecided = this.table.decision(service) == null;
-		return (eligible.isEmpty() && undecided) ? groups.of(candidate) : eligible;
+	// Once the baseline has stopped, only the candidate is available. A gateway that
+	// has just started may not have received the completion of the rollout yet.
+	private List<Endpoint> baselineEndpoints(ServiceName service, VersionGroups groups, String candidate) {
+		List<Endpoint> eligible = trustedEndpoints(service, groups, candidate);
+		boolean noDecision = this.table.decision(service) == null;
+		return (eligible.isEmpty() && noDecision) ? groups.endpointsOf(candidate) : eligible;
 	}
 
-	private List<Endpoint> candidate(ServiceName service, Grouped groups, VersionChoice.Candidate choice) {
-		List<Endpoint> all = groups.of(choice.candidate());
-		if (all.isEmpty()) {
-			return trusted(service, groups, choice.candidate());
+	private List<Endpoint> candidateEndpoints(ServiceName service, VersionGroups groups,
+			VersionChoice.Candidate choice) {
+		List<Endpoint> endpoints = groups.endpointsOf(choice.candidate());
+		if (endpoints.isEmpty()) {
+			return trustedEndpoints(service, groups, choice.candidate());
 		}
-		int serving = Math.max(MINIMUM_CANARY_ENDPOINTS, (int) Math.ceil(choice.endpointShare() * all.size()));
-		return (serving >= all.size()) ? all
-				: all.stream()
+		int count = Math.max(MINIMUM_CANARY_ENDPOINTS, (int) Math.ceil(choice.endpointShare() * endpoints.size()));
+		return (count >= endpoints.size()) ? endpoints
+				: endpoints.stream()
 					.sorted(Comparator.comparingInt((endpoint) -> endpoint.id().value().hashCode()))
-					.limit(serving)
+					.limit(count)
 					.toList();
 	}
 
-	private record Grouped(List<Endpoint> listed, Map<String, List<Endpoint>> byVersion) {
+	private record VersionGroups(List<Endpoint> listed, Map<String, List<Endpoint>> byVersion) {
 
-		boolean single() {
+		boolean hasSingleVersion() {
 			return this.byVersion.size() <= 1;
 		}
 
-		List<Endpoint> of(String version) {
+		List<Endpoint> endpointsOf(String version) {
 			return this.byVersion.getOrDefault(version, List.of());
 		}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/VersionSamples.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/VersionSamples.java
@@ -3,11 +3,12 @@
 import java.util.Collection;
 
 /**
- * What was counted of the requests at one version of a service.
+ * Request counts of one version of a service.
  *
- * @param sent the requests that were sent to it
- * @param answered those that ended
- * @param bad those that ended in a failure, or several times later than usual
+ * @param sent the number of requests sent to it
+ * @param answered the number of requests that ended
+ * @param bad the number of requests that failed or were several times slower than the
+ * baseline's
  */
 public record VersionSamples(long sent, long answered, long bad) {
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/package-info.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Moves a service's traffic from a baseline version to a candidate version.
+ * Rollouts that move a service's traffic from a baseline version to a candidate version.
  * <p>
- * Decides without input or output: which version may serve a request, whether the
- * candidate is healthy, and the next step of a rollout.
+ * The decisions perform no I/O: which versions may serve a request, whether the candidate
+ * is healthy, and the next step of a rollout.
  */
 @NullMarked
 package org.banyancove.gateway.rollout;
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/CanaryAnalysisTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/CanaryAnalysisTests.java
@@ -14,50 +14,52 @@
  */
 class CanaryAnalysisTests {
 
-	private static final VersionSamples USUAL = new VersionSamples(1000, 1000, 12);
+	private static final VersionSamples BASELINE = new VersionSamples(1000, 1000, 12);
 
 	private final CanaryAnalysis analysis = new CanaryAnalysis();
 
 	@Test
-	void aCandidateWithoutBadAnswersBecomesHealthy() {
-		assertThat(judge(new VersionSamples(20, 20, 0), USUAL)).isInstanceOf(Verdict.Undecided.class);
-		assertThat(judge(new VersionSamples(150, 150, 1), USUAL)).isInstanceOf(Verdict.Healthy.class);
+	void candidateWithFewBadAnswersIsHealthy() {
+		assertThat(evaluate(new VersionSamples(20, 20, 0), BASELINE)).isInstanceOf(Verdict.Undecided.class);
+		assertThat(evaluate(new VersionSamples(150, 150, 1), BASELINE)).isInstanceOf(Verdict.Healthy.class);
 	}
 
 	@Test
-	void aCandidateThatFailsIsUnhealthyAfterAFewAnswers() {
-		assertThat(judge(new VersionSamples(10, 10, 5), USUAL)).isInstanceOf(Verdict.Unhealthy.class);
+	void failingCandidateIsUnhealthyAfterFewAnswers() {
+		assertThat(evaluate(new VersionSamples(10, 10, 5), BASELINE)).isInstanceOf(Verdict.Unhealthy.class);
 	}
 
-	// Guards against a rollback for a fault that strikes both versions.
+	// Guards against a rollback caused by a fault that affects both versions.
 	@Test
-	void failuresOfBothVersionsAccuseNeither() {
-		assertThat(judge(new VersionSamples(40, 40, 14), new VersionSamples(1000, 1000, 330)))
+	void failuresOfBothVersionsDoNotMakeCandidateUnhealthy() {
+		assertThat(evaluate(new VersionSamples(40, 40, 14), new VersionSamples(1000, 1000, 330)))
 			.isNotInstanceOf(Verdict.Unhealthy.class);
 	}
 
-	// Guards against a fault of one route that the sum over all routes hides.
+	// Guards against an undetected fault of one route that is diluted in the total of
+	// all routes.
 	@Test
-	void aFaultOnOneRouteOnlyIsSeen() {
-		Verdict verdict = this.analysis.judge(
+	void detectsFaultOfSingleRoute() {
+		Verdict verdict = this.analysis.evaluate(
 				Map.of("chat", new VersionSamples(200, 200, 2), "plan", new VersionSamples(12, 12, 6)),
-				Map.of("chat", USUAL, "plan", USUAL));
-		assertThat(verdict).isEqualTo(new Verdict.Unhealthy("plan", new VersionSamples(12, 12, 6), USUAL));
+				Map.of("chat", BASELINE, "plan", BASELINE));
+		assertThat(verdict).isEqualTo(new Verdict.Unhealthy("plan", new VersionSamples(12, 12, 6), BASELINE));
 	}
 
-	// Guards against a rollback for one endpoint's or one caller's bad luck.
+	// Guards against a rollback caused by random failures of a single endpoint or
+	// caller.
 	@Test
-	void twoBadAnswersAreNotEnough() {
-		assertThat(judge(new VersionSamples(3, 2, 2), USUAL)).isInstanceOf(Verdict.Undecided.class);
+	void twoBadAnswersAreNotSufficient() {
+		assertThat(evaluate(new VersionSamples(3, 2, 2), BASELINE)).isInstanceOf(Verdict.Undecided.class);
 	}
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0, 0.01, 0.14 })
-	void fewHealthyCandidatesAreRejected(double usualRate) {
+	void rejectsFewHealthyCandidates(double baselineRate) {
 		SplittableRandom random = new SplittableRandom(7);
 		int rejected = 0;
 		for (int run = 0; run < 1000; run++) {
-			if (reject(random, usualRate, usualRate, 250)) {
+			if (isRejected(random, baselineRate, baselineRate, 250)) {
 				rejected++;
 			}
 		}
@@ -66,26 +68,27 @@
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.2, 0.35, 0.5 })
-	void mostUnhealthyCandidatesAreRejectedWithinFiftyBadAnswers(double rate) {
+	void rejectsMostUnhealthyCandidatesWithinFiftyBadAnswers(double candidateRate) {
 		SplittableRandom random = new SplittableRandom(8);
 		int rejected = 0;
 		for (int run = 0; run < 1000; run++) {
-			if (reject(random, 0.01, rate, 80)) {
+			if (isRejected(random, 0.01, candidateRate, 80)) {
 				rejected++;
 			}
 		}
 		assertThat(rejected).isGreaterThan(990);
 	}
 
-	private boolean reject(SplittableRandom random, double usualRate, double rate, int answers) {
+	private boolean isRejected(SplittableRandom random, double baselineRate, double candidateRate, int answers) {
 		int bad = 0;
-		int badBefore = 0;
+		int badOfBaseline = 0;
 		for (int i = 1; i <= answers; i++) {
-			bad += (random.nextDouble() < rate) ? 1 : 0;
+			bad += (random.nextDouble() < candidateRate) ? 1 : 0;
 			for (int k = 0; k < 10; k++) {
-				badBefore += (random.nextDouble() < usualRate) ? 1 : 0;
+				badOfBaseline += (random.nextDouble() < baselineRate) ? 1 : 0;
 			}
-			Verdict verdict = judge(new VersionSamples(i, i, bad), new VersionSamples(i * 10L, i * 10L, badBefore));
+			Verdict verdict = evaluate(new VersionSamples(i, i, bad),
+					new VersionSamples(i * 10L, i * 10L, badOfBaseline));
 			if (verdict instanceof Verdict.Unhealthy) {
 				return true;
 			}
@@ -93,8 +96,8 @@
 		return false;
 	}
 
-	private Verdict judge(VersionSamples candidate, VersionSamples baseline) {
-		return this.analysis.judge(Map.of("chat", candidate), Map.of("chat", baseline));
+	private Verdict evaluate(VersionSamples candidate, VersionSamples baseline) {
+		return this.analysis.evaluate(Map.of("chat", candidate), Map.of("chat", baseline));
 	}
 
 }
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutTableTests.java
@@ -34,9 +34,9 @@
 
 	private final ServingEndpoints serving = new ServingEndpoints(this.endpoints, this.table);
 
-	// Guards against requests to a version whose order has not arrived yet.
+	// Guards against requests to a version whose order has not been received yet.
 	@Test
-	void aVersionThatAppearsLaterGetsNothingWithoutAnOrder() {
+	void laterVersionReceivesNoRequestsWithoutOrder() {
 		list("a", "v1");
 		this.serving.noteVersions(List.of(SERVICE));
 		list("b", "v2");
@@ -44,35 +44,34 @@
 	}
 
 	@Test
-	void endpointsThatAreReplacedWithTheSameVersionServe() {
+	void additionalEndpointOfSameVersionServes() {
 		list("a", "v1");
 		assertThat(versions(0)).containsOnly("v1");
 		list("b", "v1");
 		assertThat(this.serving.forRequest(SERVICE, false, 0, 0)).hasSize(2);
 	}
 
-	// Guards against requests to the candidate from a gateway that starts in the middle
-	// of
-	// a rollout and knows the order, but not how far it is.
+	// Guards against requests to the candidate from a gateway that starts during a
+	// rollout and knows the order, but not the stage.
 	@Test
-	void aGatewayThatStartsDuringARolloutUsesTheBaseline() {
+	void gatewayStartedDuringRolloutUsesBaseline() {
 		this.table.ordered(ORDER);
 		list("a", "v1");
 		list("b", "v2");
 		assertThat(versions(0)).containsOnly("v1");
 	}
 
-	// Guards against a gateway that serves nothing after a restart of all, because nobody
-	// has told it that the rollout was completed.
+	// Guards against a gateway that rejects all requests after a restart of the entire
+	// fleet, because it did not receive the completion of the rollout.
 	@Test
-	void aGatewayThatStartsAfterTheBaselineHasStoppedUsesTheCandidate() {
+	void gatewayStartedAfterBaselineStoppedUsesCandidate() {
 		this.table.ordered(ORDER);
 		list("b", "v2");
 		assertThat(versions(0)).containsOnly("v2");
 	}
 
 	@Test
-	void requestsBelowTheWeightGoToTheCandidate() {
+	void requestsBelowWeightGoToCandidate() {
 		listBoth();
 		decide(1, new RolloutStage.InProgress(0.04, 1));
 		assertThat(this.serving.forRequest(SERVICE, false, 0.039, 0)).allMatch(RolloutTableTests::isCandidate);
@@ -80,19 +79,20 @@
 		assertThat(this.serving.forRequest(SERVICE, true, 0.99, 0)).allMatch(RolloutTableTests::isCandidate);
 	}
 
-	// Guards against exposure by a gateway that is cut off and does not hear of a
+	// Guards against exposure by a partitioned gateway that does not receive a
 	// rollback.
 	@Test
-	void aGatewayThatHearsNoDecisionsReturnsToTheBaseline() {
+	void gatewayWithoutRecentDecisionReturnsToBaseline() {
 		listBoth();
 		decide(1, new RolloutStage.InProgress(1, 1));
 		assertThat(versionsAt(SECOND)).containsOnly("v2");
 		assertThat(versionsAt(3 * SECOND)).containsOnly("v1");
 	}
 
-	// Guards against a late report of a former holder that takes a rollback back.
+	// Guards against a delayed report of a previous lease holder that reverts a
+	// rollback.
 	@Test
-	void anEndedRolloutDoesNotGoOn() {
+	void endedRolloutDoesNotResume() {
 		listBoth();
 		decide(5, new RolloutStage.RolledBack());
 		decide(9, new RolloutStage.InProgress(1, 1));
@@ -100,25 +100,26 @@
 	}
 
 	@Test
-	void aCompletedRolloutLeavesTheBaselineWithoutRequests() {
+	void baselineReceivesNoRequestsAfterCompletion() {
 		listBoth();
 		decide(5, new RolloutStage.Completed());
 		assertThat(versions(0)).containsOnly("v2");
 		assertThat(this.serving.serving(SERVICE, 0)).allMatch(RolloutTableTests::isCandidate);
 	}
 
-	// Guards against an order that is read again once its history was dropped.
+	// Guards against repeating an order that is read again after its history was
+	// discarded.
 	@Test
-	void anOrderThatArrivesAgainChangesNothing() {
+	void repeatedOrderIsIgnored() {
 		listBoth();
 		decide(5, new RolloutStage.Completed());
 		assertThat(this.table.ordered(ORDER)).isFalse();
 		assertThat(versions(0)).containsOnly("v2");
 	}
 
-	// Guards against exposure to a second candidate by what was decided on the first.
+	// Guards against exposure to a second candidate by the decision on the first one.
 	@Test
-	void aLaterOrderReplacesOneThatIsInProgress() {
+	void laterOrderSupersedesRolloutInProgress() {
 		listBoth();
 		decide(5, new RolloutStage.InProgress(1, 1));
 		list("c", "v3");
@@ -128,7 +129,7 @@
 	}
 
 	@Test
-	void slowAnswersAreBadByTheBaselinesTimes() {
+	void slowAnswersComparedWithBaselineAreBad() {
 		listBoth();
 		decide(1, new RolloutStage.InProgress(0.04, 0.04));
 		for (int i = 0; i < 10; i++) {
@@ -137,7 +138,7 @@
 		this.table.answered(SERVICE, "chat", "v2", new AnswerTimes(2, 12));
 		this.table.answered(SERVICE, "chat", "v2", new AnswerTimes(1, 60));
 		this.table.answered(SERVICE, "chat", "v2", new AnswerTimes(8, 10));
-		assertThat(this.table.report().byRoute(ORDER.offset(), true)).containsEntry("chat",
+		assertThat(this.table.report().samplesByRoute(ORDER.offset(), true)).containsEntry("chat",
 				new VersionSamples(0, 3, 2));
 	}
 
@@ -157,12 +158,18 @@
 		this.table.decided(List.of(new Rollout(ORDER, "v1", Instant.EPOCH, revision, stage)), 0);
 	}
 
-	private List<String> versions(double draw) {
-		return this.serving.forRequest(SERVICE, false, draw, 0).stream().map((one) -> one.entry().version()).toList();
+	private List<String> versions(double randomValue) {
+		return this.serving.forRequest(SERVICE, false, randomValue, 0)
+			.stream()
+			.map((endpoint) -> endpoint.entry().version())
+			.toList();
 	}
 
 	private List<String> versionsAt(long now) {
-		return this.serving.forRequest(SERVICE, false, 0, now).stream().map((one) -> one.entry().version()).toList();
+		return this.serving.forRequest(SERVICE, false, 0, now)
+			.stream()
+			.map((endpoint) -> endpoint.entry().version())
+			.toList();
 	}
 
 	private static boolean isCandidate(Endpoint endpoint) {
