--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
@@ -36,7 +36,7 @@
 
 	private long leaseHolder;
 
-	private KnownState known = KnownState.NONE;
+	private KnownState sharedState = KnownState.NONE;
 
 	/**
 	 * Adds the report of a gateway.
@@ -53,7 +53,7 @@
 		}
 		if (responding && report.known().reads()) {
 			this.readers.add(report.incarnation());
-			updateKnown(report.known().aged(elapsed));
+			updateSharedState(report.known().aged(elapsed));
 		}
 	}
 
@@ -74,7 +74,7 @@
 		this.leaseHolder = (current.leaseHolder() != 0) ? current.leaseHolder() : this.leaseHolder;
 		if (responding) {
 			this.readers.addAll(current.readers());
-			updateKnown(current.known().aged(elapsed));
+			updateSharedState(current.known().aged(elapsed));
 		}
 	}
 
@@ -109,9 +109,9 @@
 					ObservedRateLimit::newerOf));
 	}
 
-	private void updateKnown(KnownState candidate) {
-		if (candidate.reads() && (!this.known.reads() || candidate.isNewerThan(this.known))) {
-			this.known = candidate;
+	private void updateSharedState(KnownState candidate) {
+		if (candidate.reads() && (!this.sharedState.reads() || candidate.isNewerThan(this.sharedState))) {
+			this.sharedState = candidate;
 		}
 	}
 
@@ -128,7 +128,7 @@
 		List<Long> lowestReaders = this.readers.stream().limit(MAXIMUM_READERS).toList();
 		return new FleetSummary(incarnation, group, List.copyOf(this.presence.values()),
 				new TrafficTotals(counts, used, this.demand, this.loads, this.rollouts, this.rateLimits),
-				this.leaseHolder, this.known, lowestReaders);
+				this.leaseHolder, this.sharedState, lowestReaders);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
@@ -102,8 +102,8 @@
 	 */
 	public Map<AccountName, Double> read(GatewayReport report, long now) {
 		this.usageLedger.addGateway(report.incarnation(), report.traffic().counts());
-		Member known = this.members.get(report.incarnation());
-		QuotaUsageReconciler reconciler = (known != null) ? known.reconciler()
+		Member previous = this.members.get(report.incarnation());
+		QuotaUsageReconciler reconciler = (previous != null) ? previous.reconciler()
 				: new QuotaUsageReconciler(REACHABLE_TIMEOUT);
 		this.members.put(report.incarnation(), new Member(report, now, reconciler));
 		Map<AccountName, Double> charge = reconciler.update(report.incarnation(), report.traffic().used(), now);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageLedger.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageLedger.java
@@ -52,8 +52,8 @@
 		return window;
 	}
 
-	private static void mergeMaximum(Map<AccountName, Long> known, Map<AccountName, Long> counts) {
-		counts.forEach((account, count) -> known.merge(account, count, Math::max));
+	private static void mergeMaximum(Map<AccountName, Long> maximums, Map<AccountName, Long> counts) {
+		counts.forEach((account, count) -> maximums.merge(account, count, Math::max));
 	}
 
 	/**
