--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/AdmissionRuleTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/AdmissionRuleTests.java
@@ -25,8 +25,7 @@
 	}
 
 	// Guards against admitting a request whose answer would be late, and which would
-	// delay
-	// the requests queued behind it: the queues of all engines take 1.5 seconds.
+	// delay the requests queued behind it: the queues of all engines take 1.5 seconds.
 	@Test
 	void rejectsARequestThatIsPredictedToMissItsTarget() {
 		assertThat(retryAfter(1500, 0, 3000)).isEqualTo(Duration.ofMillis(1250));
@@ -49,8 +48,8 @@
 	}
 
 	// Guards against a request that misses its target because it was placed at an
-	// endpoint
-	// of a partitioned data centre: the connect timeout must leave time for another one.
+	// endpoint of a partitioned data centre: the connect timeout must leave time for
+	// another one.
 	@Test
 	void theConnectTimeoutLeavesTimeForAnotherEndpoint() {
 		assertThat(this.rule.connectTimeout(STREAM_ROUTE)).isEqualTo(Duration.ofMillis(125));
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/QuotaLimiterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/QuotaLimiterTests.java
@@ -52,10 +52,8 @@
 
 	// Guards against an overshoot of the quota over all gateways. An account sends eight
 	// times its rate to nine gateways, half of it to one of them, and usage reports
-	// arrive
-	// a quarter of a second late. In each window of 8 s, the gateways together must
-	// accept
-	// at most rate and burst plus the tolerance.
+	// arrive a quarter of a second late. In each window of 8 s, the gateways together
+	// must accept at most rate and burst plus the tolerance.
 	@Test
 	void allGatewaysTogetherKeepToTheQuotaAtEightTimesTheRate() {
 		Fleet fleet = new Fleet(9);
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PlacementRuleTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PlacementRuleTests.java
@@ -76,9 +76,8 @@
 	}
 
 	// Guards against losing cached prompts on reclaim: the sessions of an endpoint whose
-	// VM
-	// is reclaimed in two seconds move to their next owners, which copy from it while it
-	// still runs.
+	// VM is reclaimed in two seconds move to their next owners, which copy from it while
+	// it still runs.
 	@Test
 	void theNextOwnerCopiesFromADrainingEndpoint() {
 		List<Endpoint> endpoints = endpoints(6);
