--- a/banyancove-core/src/main/java/org/banyancove/core/handover/AnswerLookup.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/AnswerLookup.java
@@ -12,7 +12,7 @@
 import org.banyancove.core.peer.PeerMessage;
 
 /**
- * Reads answers for entries to which a caller came back.
+ * Looks up answers for entries to which a caller has reconnected.
  */
 final class AnswerLookup {
 
@@ -20,25 +20,26 @@
 
 	private final HoldTable table;
 
-	private final DepartedTable departed;
+	private final FormerRequestTable formerRequests;
 
 	private final HandoverPort port;
 
-	private final int mostCharacters;
+	private final int maximumCharacters;
 
-	AnswerLookup(Incarnation self, HoldTable table, DepartedTable departed, HandoverPort port, int mostCharacters) {
+	AnswerLookup(Incarnation self, HoldTable table, FormerRequestTable formerRequests, HandoverPort port,
+			int maximumCharacters) {
 		this.self = self;
 		this.table = table;
-		this.departed = departed;
+		this.formerRequests = formerRequests;
 		this.port = port;
-		this.mostCharacters = mostCharacters;
+		this.maximumCharacters = maximumCharacters;
 	}
 
 	/**
-	 * Returns what this process knows of a request's answer, as owner, as holder or as
-	 * one that handed it over.
-	 * @param message what is asked
-	 * @return the answer, which says nothing to another account's asker
+	 * Returns the available part of a request's answer, as its owner, holder or former
+	 * owner.
+	 * @param message the query
+	 * @return the pieces; reported as not found to another account
 	 */
 	PeerMessage.AnswerPieces answerTo(PeerMessage.FetchAnswer message) {
 		RequestId id = message.request();
@@ -47,7 +48,7 @@
 		Incarnation owner = null;
 		OwnedRequest request = this.table.owned(id);
 		HeldCopy copy = this.table.held(id);
-		DepartedTable.Departed gone = this.departed.find(id);
+		FormerRequestTable.FormerRequest former = this.formerRequests.find(id);
 		if (request != null) {
 			account = request.held.account();
 			owner = this.self;
@@ -57,18 +58,18 @@
 			owner = copy.owner();
 			answer = copy.answer;
 		}
-		else if (gone != null) {
-			account = gone.account();
-			owner = gone.owner();
+		else if (former != null) {
+			account = former.account();
+			owner = former.owner();
 		}
 		if (!message.account().equals(account)) {
-			// Another account's answer is as good as unknown to the asker.
+			// The existence of another account's request must not be revealed.
 			return new PeerMessage.AnswerPieces(this.self, id, false, null, List.of(), null);
 		}
 		List<Piece> pieces = List.of();
 		EndOfAnswer end = null;
 		if (answer != null) {
-			pieces = bounded(answer.readFrom(message.fromOffset()));
+			pieces = limited(answer.readFrom(message.fromOffset()));
 			if (pieces.isEmpty() || pieces.getLast().toOffset() == answer.nextOffset()) {
 				end = answer.end();
 			}
@@ -76,17 +77,17 @@
 		return new PeerMessage.AnswerPieces(this.self, id, true, owner, pieces, end);
 	}
 
-	private List<Piece> bounded(List<Piece> pieces) {
-		List<Piece> taken = new ArrayList<>();
+	private List<Piece> limited(List<Piece> pieces) {
+		List<Piece> result = new ArrayList<>();
 		long total = 0;
 		for (Piece piece : pieces) {
 			total += piece.text().length();
-			if (total > this.mostCharacters && !taken.isEmpty()) {
+			if (total > this.maximumCharacters && !result.isEmpty()) {
 				break;
 			}
-			taken.add(piece);
+			result.add(piece);
 		}
-		return taken;
+		return result;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverCounters.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverCounters.java
@@ -1,13 +1,13 @@
 package org.banyancove.core.handover;
 
 /**
- * Counts of holding and handing over, for metrics. Read and written on the tick thread.
+ * Counters of holding and handover, for metrics. Confined to the tick thread.
  */
 public final class HandoverCounters {
 
-	private long acceptedHeld;
+	private long acceptedWithHolder;
 
-	private long acceptedAlone;
+	private long acceptedWithoutHolder;
 
 	private long takenOver;
 
@@ -17,73 +17,74 @@
 
 	private long lost;
 
-	private long holdersReplaced;
+	private long holderReplacements;
 
 	HandoverCounters() {
 	}
 
 	/**
-	 * Returns the requests accepted with a holder.
-	 * @return the requests
+	 * Returns the number of requests accepted with a holder.
+	 * @return the number of requests
 	 */
-	public long acceptedHeld() {
-		return this.acceptedHeld;
+	public long acceptedWithHolder() {
+		return this.acceptedWithHolder;
 	}
 
 	/**
-	 * Returns the requests accepted though no peer held them.
-	 * @return the requests
+	 * Returns the number of requests accepted without a holder.
+	 * @return the number of requests
 	 */
-	public long acceptedAlone() {
-		return this.acceptedAlone;
+	public long acceptedWithoutHolder() {
+		return this.acceptedWithoutHolder;
 	}
 
 	/**
-	 * Returns the requests taken over from an owner that died without handing over.
-	 * @return the requests
+	 * Returns the number of requests taken over from owners that failed without a
+	 * handover.
+	 * @return the number of requests
 	 */
 	public long takenOver() {
 		return this.takenOver;
 	}
 
 	/**
-	 * Returns the requests handed over to a peer.
-	 * @return the requests
+	 * Returns the number of requests handed over to peers.
+	 * @return the number of requests
 	 */
 	public long handedOver() {
 		return this.handedOver;
 	}
 
 	/**
-	 * Returns the requests that a peer handed over to this process.
-	 * @return the requests
+	 * Returns the number of requests received from peers by handover.
+	 * @return the number of requests
 	 */
 	public long received() {
 		return this.received;
 	}
 
 	/**
-	 * Returns the requests given up here, since a peer knew a higher ownership number.
-	 * @return the requests
+	 * Returns the number of requests given up due to a higher ownership number of a peer.
+	 * @return the number of requests
 	 */
 	public long lost() {
 		return this.lost;
 	}
 
 	/**
-	 * Returns the times another holder was sought for an accepted request.
-	 * @return the times
+	 * Returns the number of holder replacements.
+	 * @return the number of replacements
 	 */
-	public long holdersReplaced() {
-		return this.holdersReplaced;
+	public long holderReplacements() {
+		return this.holderReplacements;
 	}
 
 	void countAccepted(boolean alone) {
 		if (alone) {
-			this.acceptedAlone++;
+			this.acceptedWithoutHolder++;
 		}
 		else {
-			this.acceptedHeld++;
+			this.acceptedWithHolder++;
 		}
 	}
 
@@ -104,7 +105,7 @@
 	}
 
 	void countHolderReplaced() {
-		this.holdersReplaced++;
+		this.holderReplacements++;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverPort.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverPort.java
@@ -9,39 +9,41 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What {@link HandoverSystem} asks of the entry around it. Called on the tick thread.
+ * The callbacks of {@link HandoverSystem} to the enclosing entry. Called on the tick
+ * thread.
  */
 public interface HandoverPort {
 
 	/**
-	 * The request counts as accepted now and may be started.
+	 * Called when a request is accepted and may be started.
 	 * @param request the request
-	 * @param alone whether no peer could be found that holds it
+	 * @param alone whether no peer holds the request
 	 */
 	void accepted(RequestId request, boolean alone);
 
 	/**
-	 * This process owns the request now and has to finish it: by resuming the stream at
-	 * its endpoint, else by going on from the tokens so far, else from nothing.
-	 * @param held the request; never one that may run at most once
+	 * Called when this process becomes the owner of a request and must complete it: by
+	 * reattaching to the stream at its endpoint, by resuming from the tokens so far, or
+	 * by restarting, in this order of preference.
+	 * @param held the request; never an at-most-once call
 	 * @param progress the answer so far, from offset 0
 	 */
 	void takeOver(HeldRequest held, Progress progress);
 
 	/**
-	 * This process answers the callers of a request that may run at most once. Whether it
-	 * runs is for the claimant of its key alone to say.
+	 * Called when this process becomes responsible for answering the callers of an
+	 * at-most-once call. Only the claimant of its key determines whether the call runs.
 	 * @param held the request
 	 */
 	void adoptKeyed(HeldRequest held);
 
 	/**
-	 * The request belongs to another process now; nothing more of it may be delivered
-	 * here. Callers that wait here are served from the owner. That holds also if the
-	 * request was never accepted here: its holder took it over while this process was
-	 * paused, and has accepted it thereby.
+	 * Called when another process has become the owner of a request. This process must
+	 * not deliver any further part of its answer, and waiting callers are served from the
+	 * owner. The request may not have been accepted by this process: if its holder takes
+	 * it over while this process is paused, the holder thereby accepts it.
 	 * @param request the request
-	 * @param owner the process that told of the higher ownership number
+	 * @param owner the process that reported the higher ownership number
 	 */
 	void released(RequestId request, Incarnation owner);
 
@@ -55,7 +57,7 @@
 	/**
 	 * Returns the endpoint that runs the stream of a request.
 	 * @param request the request
-	 * @return the endpoint, or {@code null} if none runs it
+	 * @return the endpoint, or {@code null} if there is none
 	 */
 	@Nullable EndpointId endpoint(RequestId request);
 
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverSettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverSettings.java
@@ -8,22 +8,25 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * Times and bounds of holding and handing over.
+ * Settings of holding and handover.
  *
  * @param nearby the other data centers whose entries may hold requests
- * @param acknowledgeTimeout the time in which a peer must say that it holds a request
- * @param holderTries the peers that are asked before a request is accepted alone
- * @param avoidTime the time for which a peer that did not answer is not asked first
- * @param progressInterval the time between two copies of an answer's progress
- * @param progressCharacters the most characters of an answer in one message
- * @param silentCopies the unanswered copies after which another holder is sought
- * @param handOverTimeout the time in which a peer must say that it took a request over
- * @param keepEnded the time for which an ended request is remembered
- * @param maximumHeld the most requests held for others
- * @param maximumHeldCharacters the most characters of bodies and answers held for others
+ * @param acknowledgeTimeout the timeout for a peer to acknowledge that it holds a request
+ * @param maximumHolderAttempts the number of peers requested before a request is accepted
+ * without a holder
+ * @param avoidanceTime how long a peer that did not answer is ranked last
+ * @param progressInterval the interval between copies of an answer's progress
+ * @param progressCharacters the maximum number of answer characters per message
+ * @param maximumUnacknowledgedCopies the number of unacknowledged copies after which the
+ * holder is replaced
+ * @param handOverTimeout the timeout for a peer to acknowledge a handover
+ * @param keepEnded how long an ended request is retained
+ * @param maximumHeld the maximum number of requests held for other processes
+ * @param maximumHeldCharacters the maximum total size of bodies and answers held for
+ * other processes, in characters
  */
-public record HandoverSettings(Set<DataCenterName> nearby, Duration acknowledgeTimeout, int holderTries,
-		Duration avoidTime, Duration progressInterval, int progressCharacters, int silentCopies,
+public record HandoverSettings(Set<DataCenterName> nearby, Duration acknowledgeTimeout, int maximumHolderAttempts,
+		Duration avoidanceTime, Duration progressInterval, int progressCharacters, int maximumUnacknowledgedCopies,
 		Duration handOverTimeout, Duration keepEnded, int maximumHeld, long maximumHeldCharacters) {
 
 	/**
@@ -31,18 +34,19 @@
 	 * @throws IllegalArgumentException if a bound is not positive
 	 */
 	public HandoverSettings {
-		// The order decides which peer is asked first; that of Set.copyOf changes with
-		// each start of the JVM, so that no run could be repeated.
+		// The order determines which peer is requested first. The order of Set.copyOf
+		// differs between JVM runs and would make simulations unrepeatable.
 		nearby = Collections.unmodifiableSet(new TreeSet<>(nearby));
-		if (holderTries <= 0 || progressCharacters <= 0 || silentCopies <= 0 || maximumHeld <= 0
-				|| maximumHeldCharacters <= 0) {
-			throw new IllegalArgumentException("bounds must be positive: " + holderTries + ", " + progressCharacters
-					+ ", " + silentCopies + ", " + maximumHeld + ", " + maximumHeldCharacters);
+		if (maximumHolderAttempts <= 0 || progressCharacters <= 0 || maximumUnacknowledgedCopies <= 0
+				|| maximumHeld <= 0 || maximumHeldCharacters <= 0) {
+			throw new IllegalArgumentException(
+					"bounds must be positive: " + maximumHolderAttempts + ", " + progressCharacters + ", "
+							+ maximumUnacknowledgedCopies + ", " + maximumHeld + ", " + maximumHeldCharacters);
 		}
 	}
 
 	/**
-	 * Returns the usual settings.
+	 * Returns the default settings.
 	 * @param nearby the other data centers whose entries may hold requests
 	 * @return the settings
 	 */
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverSystem.java
@@ -19,12 +19,13 @@
 import org.banyancove.core.peer.PeerStatus;
 
 /**
- * Keeps accepted requests alive when entries go: a second entry holds each request, takes
- * it over when its owner dies, and gets it when its owner leaves. Used by the entry's
- * tick thread only.
+ * Preserves accepted requests when entries fail or leave. A second entry holds a copy of
+ * each request, takes the request over if its owner fails, and receives it when its owner
+ * leaves. Confined to the entry's tick thread.
  * <p>
- * A request has one owner at a time under a number that only rises. An owner that was
- * paused and wakes up learns of a higher number from its holder and stops.
+ * Each owner of a request has an ownership number, which increases with each change of
+ * owner. An owner that resumes after a pause learns a higher number from its holder and
+ * gives up the request.
  */
 public final class HandoverSystem {
 
@@ -36,11 +37,11 @@
 
 	private final HoldTable table;
 
-	private final DepartedTable departed;
+	private final FormerRequestTable formerRequests;
 
 	private final InstantSource clock;
 
-	private final HolderChoice choice;
+	private final HolderRanking ranking;
 
 	private final HandoverCounters counters = new HandoverCounters();
 
@@ -60,11 +61,11 @@
 	 * Creates the system.
 	 * @param self this process
 	 * @param peers the peers
-	 * @param table the table to keep
+	 * @param table the table of owned and held requests
 	 * @param clock the clock
-	 * @param settings times and bounds
+	 * @param settings the settings
 	 * @param peerPort sends messages
-	 * @param port the entry around it
+	 * @param port the port to the enclosing entry
 	 */
 	public HandoverSystem(PeerState self, PeerTable peers, HoldTable table, InstantSource clock,
 			HandoverSettings settings, PeerPort peerPort, HandoverPort port) {
@@ -72,23 +73,23 @@
 		this.peers = peers;
 		this.table = table;
 		this.clock = clock;
-		this.choice = new HolderChoice(self, peers, settings);
-		this.departed = new DepartedTable(clock, settings.keepEnded());
+		this.ranking = new HolderRanking(self, peers, settings);
+		this.formerRequests = new FormerRequestTable(clock, settings.keepEnded());
 		this.messages = new HoldMessages(this.self, peers, peerPort, port);
-		this.owner = new OwnerSystem(this.self, peers, table, this.departed, clock, settings, this.messages, port,
-				this.choice, this.counters);
+		this.owner = new OwnerSystem(this.self, peers, table, this.formerRequests, clock, settings, this.messages, port,
+				this.ranking, this.counters);
 		this.holder = new HolderSystem(table, this.messages, clock, settings);
-		this.lookup = new AnswerLookup(this.self, table, this.departed, port, settings.progressCharacters());
+		this.lookup = new AnswerLookup(this.self, table, this.formerRequests, port, settings.progressCharacters());
 		this.nextSweep = clock.instant();
 	}
 
 	/**
-	 * Looks for a peer that holds a new request. {@link HandoverPort#accepted} follows,
-	 * at once if there is no peer.
+	 * Requests a peer to hold a new request. {@link HandoverPort#accepted} is called
+	 * afterwards, or immediately if there is no peer.
 	 * @param held the request
-	 * @throws BanyancoveException with {@link ErrorKind#STOPPING} if this process takes
-	 * no new work
-	 * @throws IllegalArgumentException if the request is known already
+	 * @throws BanyancoveException with {@link ErrorKind#STOPPING} if this process does
+	 * not accept new work
+	 * @throws IllegalArgumentException if the request is already owned or held
 	 */
 	public void offer(HeldRequest held) {
 		if (this.stopping) {
@@ -101,10 +102,10 @@
 	}
 
 	/**
-	 * Tells that an owned request has ended.
+	 * Reports that an owned request has ended.
 	 * @param id the request
 	 * @param totalOffset the offset after the answer's last token
-	 * @param end how the answer ended
+	 * @param end the end of the answer
 	 */
 	public void ended(RequestId id, long totalOffset, EndOfAnswer end) {
 		OwnedRequest request = this.table.owned(id);
@@ -115,7 +116,7 @@
 	}
 
 	/**
-	 * Does what is due.
+	 * Handles expired timers and removes expired entries.
 	 */
 	public void tick() {
 		Instant now = this.clock.instant();
@@ -125,17 +126,17 @@
 		}
 		this.nextSweep = now.plus(SWEEP_INTERVAL);
 		if (this.owner.isHandingOver()) {
-			takeOverFromTheSuspected();
+			takeOverFromSuspected();
 		}
-		this.departed.forgetTheOld(now);
-		this.owner.forgetTheOld(now);
-		this.holder.forgetTheOld(now);
+		this.formerRequests.removeExpired(now);
+		this.owner.removeExpired(now);
+		this.holder.removeExpired(now);
 	}
 
 	/**
-	 * Takes a message.
+	 * Handles a message.
 	 * @param message the message
-	 * @return whether it was one about holding or handing over
+	 * @return {@code true} if the message concerns holding or handover
 	 */
 	public boolean receive(PeerMessage message) {
 		switch (message) {
@@ -143,7 +144,7 @@
 			case PeerMessage.HoldAcknowledged answer -> this.owner.acknowledged(answer);
 			case PeerMessage.HoldProgress progress -> receiveHoldProgress(progress);
 			case PeerMessage.HoldReleased released -> receiveHoldReleased(released);
-			case PeerMessage.HoldDropped dropped -> this.holder.take(dropped);
+			case PeerMessage.HoldDropped dropped -> this.holder.receive(dropped);
 			case PeerMessage.HandOver handOver -> receiveHandOver(handOver);
 			case PeerMessage.HandOverAcknowledged answer -> this.owner.handOverAnswered(answer);
 			case PeerMessage.FetchAnswer fetch -> this.messages.send(fetch.from(), answerTo(fetch));
@@ -155,8 +156,8 @@
 	}
 
 	/**
-	 * Hands every request over, since this process is about to be reclaimed.
-	 * @param wholeDataCenter whether all of the data center is leaving
+	 * Hands over all requests before this process is reclaimed.
+	 * @param wholeDataCenter whether the entire data center is leaving
 	 */
 	public void handOverAll(boolean wholeDataCenter) {
 		this.stopping = true;
@@ -164,7 +165,7 @@
 	}
 
 	/**
-	 * Takes no new work from now on; what is in flight goes on.
+	 * Stops accepting new requests; running requests continue.
 	 */
 	public void beginStop() {
 		this.stopping = true;
@@ -172,49 +173,49 @@
 
 	/**
 	 * Returns whether new requests are refused.
-	 * @return whether this process stops
+	 * @return {@code true} if this process is stopping
 	 */
 	public boolean isStopping() {
 		return this.stopping;
 	}
 
 	/**
-	 * Returns whether nothing is in flight here, so that stopping cuts nothing.
-	 * @return whether the process may end
+	 * Returns whether this process can stop without interrupting a request.
+	 * @return {@code true} if it is stopping and owns no request
 	 */
 	public boolean canStop() {
 		return this.stopping && this.table.ownedCount() == 0;
 	}
 
 	/**
-	 * Takes over what a dead process owned and replaces it where it was a holder.
-	 * @param peer the process
+	 * Takes over the requests of a failed owner and replaces the process as holder.
+	 * @param peer the failed process
 	 */
 	public void died(PeerState peer) {
 		for (RequestId id : this.table.heldFor(peer.incarnation())) {
 			HeldCopy copy = this.table.held(id);
 			if (copy != null) {
-				takeOverFromTheDead(copy);
+				takeOverFromFailed(copy);
 			}
 		}
 		this.owner.replaceAsHolder(peer);
 	}
 
 	/**
-	 * Asks a process that was just met to hold what nobody else holds. Waiting for the
-	 * next copy of the progress instead would leave a request for seconds with its owner
-	 * alone, and lose it if that one dies.
+	 * Requests a newly joined process to hold the requests without a holder. Waiting for
+	 * the next copy of the progress would leave a request without a holder for seconds,
+	 * and lose it if its owner fails.
 	 * @param peer the process
 	 */
 	public void joined(PeerState peer) {
 		if (!peer.incarnation().equals(this.self)) {
-			this.owner.seekHoldersForTheUnheld();
+			this.owner.findMissingHolders();
 		}
 	}
 
 	/**
-	 * Replaces a leaving process where it is a holder.
-	 * @param peer the process
+	 * Replaces a leaving process as holder.
+	 * @param peer the leaving process
 	 */
 	public void leaving(PeerState peer) {
 		if (!peer.incarnation().equals(this.self)) {
@@ -223,19 +224,20 @@
 	}
 
 	/**
-	 * Returns the peers that probably know a request whose caller came here.
+	 * Returns the peers that probably own or hold a request whose caller reconnected to
+	 * this process.
 	 * @param request the request
 	 * @return the peers to ask with {@link PeerMessage.FetchAnswer}
 	 */
 	public List<PeerState> probablyKnow(RequestId request) {
-		return this.choice.probablyKnow(request);
+		return this.ranking.probablyKnow(request);
 	}
 
 	/**
-	 * Returns what this process knows of a request's answer, as owner, as holder or as
-	 * one that handed it over.
-	 * @param message what is asked
-	 * @return the answer, which says nothing to another account's asker
+	 * Returns the available part of a request's answer, as its owner, holder or former
+	 * owner.
+	 * @param message the query
+	 * @return the pieces; reported as not found to another account
 	 */
 	public PeerMessage.AnswerPieces answerTo(PeerMessage.FetchAnswer message) {
 		return this.lookup.answerTo(message);
@@ -249,14 +251,15 @@
 		return this.counters;
 	}
 
-	// Tells a process that believes to own a request if a higher number is known here. If
-	// its number is the higher one, this process gives way instead.
-	private boolean knowsHigher(RequestId id, long ownership, Incarnation from) {
+	// Notifies a process that considers itself the owner of a request if a higher
+	// ownership number is known. If its number is higher, this process gives up the
+	// request instead.
+	private boolean rejectsOwner(RequestId id, long ownership, Incarnation from) {
 		OwnedRequest request = this.table.owned(id);
 		if (request != null && request.ownership() < ownership) {
-			this.owner.lose(request, from, ownership);
+			this.owner.loseOwnership(request, from, ownership);
 		}
-		long known = highestKnown(id);
+		long known = highestOwnership(id);
 		if (known > ownership) {
 			this.messages.acknowledge(from, id, known, 0, false);
 			return true;
@@ -264,23 +267,23 @@
 		return this.table.owns(id);
 	}
 
-	private long highestKnown(RequestId id) {
+	private long highestOwnership(RequestId id) {
 		OwnedRequest request = this.table.owned(id);
 		if (request != null) {
 			return request.ownership();
 		}
 		HeldCopy copy = this.table.held(id);
 		long number = (copy != null) ? copy.ownership() : 0;
-		DepartedTable.Departed gone = this.departed.find(id);
-		return (gone != null) ? Math.max(number, gone.ownership()) : number;
+		FormerRequestTable.FormerRequest former = this.formerRequests.find(id);
+		return (former != null) ? Math.max(number, former.ownership()) : number;
 	}
 
 	private void receiveHandOver(PeerMessage.HandOver message) {
 		RequestId id = message.held().request();
-		OwnedRequest own = this.table.owned(id);
-		long known = highestKnown(id);
-		if (own != null && known < message.ownership()) {
-			this.owner.raise(own, message.ownership());
+		OwnedRequest ownedRequest = this.table.owned(id);
+		long known = highestOwnership(id);
+		if (ownedRequest != null && known < message.ownership()) {
+			this.owner.raiseOwnership(ownedRequest, message.ownership());
 			this.messages.answerHandOver(message, message.ownership(), true);
 			return;
 		}
@@ -292,51 +295,52 @@
 			this.messages.answerHandOver(message, 0, false);
 			return;
 		}
-		HeldCopy copy = this.holder.takeOut(message);
-		copy.take(message.progress());
+		HeldCopy copy = this.holder.removeCopy(message);
+		copy.update(message.progress());
 		this.counters.countReceived();
 		this.messages.answerHandOver(message, message.ownership(), true);
-		this.owner.own(copy, message.ownership());
+		this.owner.becomeOwner(copy, message.ownership());
 	}
 
 	private void receiveHoldRequest(PeerMessage.HoldRequest message) {
-		if (!knowsHigher(message.held().request(), message.ownership(), message.from())) {
-			this.holder.take(message, this.stopping);
+		if (!rejectsOwner(message.held().request(), message.ownership(), message.from())) {
+			this.holder.receive(message, this.stopping);
 		}
 	}
 
 	private void receiveHoldProgress(PeerMessage.HoldProgress message) {
-		if (!knowsHigher(message.request(), message.ownership(), message.from())) {
-			this.holder.take(message);
+		if (!rejectsOwner(message.request(), message.ownership(), message.from())) {
+			this.holder.receive(message);
 		}
 	}
 
 	private void receiveHoldReleased(PeerMessage.HoldReleased message) {
-		if (!knowsHigher(message.request(), message.ownership(), message.from())) {
-			this.holder.take(message);
+		if (!rejectsOwner(message.request(), message.ownership(), message.from())) {
+			this.holder.receive(message);
 		}
 	}
 
-	private void takeOverFromTheDead(HeldCopy copy) {
-		// The claimant of its key alone may run a call that may run at most once: the
-		// dead owner may have dispatched it, and a second run would book twice.
-		boolean runsElsewhere = copy.held.kind() == CallKind.AT_MOST_ONCE;
-		if (runsElsewhere || copy.hasEnded()) {
+	private void takeOverFromFailed(HeldCopy copy) {
+		// Only the claimant of the key may run an at-most-once call: the failed owner may
+		// have dispatched it, and the holder must not run it a second time.
+		boolean atMostOnce = copy.held.kind() == CallKind.AT_MOST_ONCE;
+		if (atMostOnce || copy.hasEnded()) {
 			return;
 		}
 		this.table.release(copy.held.request());
 		this.counters.countTakenOver();
-		this.owner.own(copy, OwnershipNumber.after(copy.ownership(), this.self));
+		this.owner.becomeOwner(copy, OwnershipNumber.after(copy.ownership(), this.self));
 	}
 
-	// A leaving holder may be gone before the death of an owner is certain, and its copy
-	// with it. It takes the request over on suspicion, to hand it on; an owner that lives
-	// after all gives way to the higher number.
-	private void takeOverFromTheSuspected() {
+	// A leaving holder may be gone, together with its copy, before the failure of an
+	// owner is confirmed. It therefore takes over the request of a suspected owner and
+	// hands it over; an owner that is alive gives up the request due to the higher
+	// number.
+	private void takeOverFromSuspected() {
 		for (HeldCopy copy : this.table.held()) {
 			PeerState owner = this.peers.find(copy.owner());
 			if (owner == null || owner.status().compareTo(PeerStatus.SUSPECTED) >= 0) {
-				takeOverFromTheDead(copy);
+				takeOverFromFailed(copy);
 			}
 		}
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HeldCopy.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HeldCopy.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request that this process holds for its owner.
+ * A copy of a request that this process holds for the owner.
  */
 final class HeldCopy {
 
@@ -45,14 +45,14 @@
 		return this.ownership;
 	}
 
-	void changeOwner(Incarnation newOwner, long higher) {
-		Invariant.check(higher >= this.ownership, "ownership of %s falls from %s to %s", this.held.request(),
-				this.ownership, higher);
+	void changeOwner(Incarnation newOwner, long newOwnership) {
+		Invariant.check(newOwnership >= this.ownership, "ownership of %s decreases from %s to %s", this.held.request(),
+				this.ownership, newOwnership);
 		this.owner = newOwner;
-		this.ownership = higher;
+		this.ownership = newOwnership;
 	}
 
-	void take(Progress progress) {
+	void update(Progress progress) {
 		this.endpoint = progress.endpoint();
 		this.answer.takeCopy(progress.attempt(), progress.pieces());
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HoldMessages.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HoldMessages.java
@@ -16,8 +16,7 @@
 import org.banyancove.core.peer.Progress;
 
 /**
- * Sends what an owner and a holder say to each other. A peer that is not known any longer
- * gets nothing.
+ * Sends the messages between owners and holders. Messages to unknown peers are dropped.
  */
 final class HoldMessages {
 
@@ -36,7 +35,7 @@
 		this.port = port;
 	}
 
-	void askToHold(Incarnation to, HeldRequest held, long ownership) {
+	void requestHold(Incarnation to, HeldRequest held, long ownership) {
 		send(to, new PeerMessage.HoldRequest(this.self, ownership, held));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HoldTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HoldTable.java
@@ -14,8 +14,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The requests that this process owns and those that it holds for others. Used by the
- * entry's tick thread only.
+ * The requests that this process owns or holds for other processes. Confined to the
+ * entry's tick thread.
  */
 public final class HoldTable {
 
@@ -31,7 +31,7 @@
 
 	/**
 	 * Returns the number of requests that this process owns.
-	 * @return the number
+	 * @return the number of requests
 	 */
 	public int ownedCount() {
 		return this.owned.size();
@@ -39,15 +39,15 @@
 
 	/**
 	 * Returns the number of requests that this process holds for others.
-	 * @return the number
+	 * @return the number of requests
 	 */
 	public int heldCount() {
 		return this.held.size();
 	}
 
 	/**
-	 * Returns the characters of bodies and answers that are held for others.
-	 * @return the characters
+	 * Returns the total size of the bodies and answers held for other processes.
+	 * @return the size in characters
 	 */
 	public long heldCharacters() {
 		return this.heldCharacters;
@@ -56,16 +56,16 @@
 	/**
 	 * Returns whether this process owns a request.
 	 * @param request the request
-	 * @return whether it is owned
+	 * @return {@code true} if it is owned
 	 */
 	public boolean owns(RequestId request) {
 		return this.owned.containsKey(request);
 	}
 
 	/**
-	 * Returns whether this process holds a request for another one.
+	 * Returns whether this process holds a request for another process.
 	 * @param request the request
-	 * @return whether it is held
+	 * @return {@code true} if it is held
 	 */
 	public boolean holds(RequestId request) {
 		return this.held.containsKey(request);
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HolderChoice.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HolderRanking.java
@@ -11,14 +11,14 @@
 import org.banyancove.core.peer.PeerStatus;
 
 /**
- * Orders the peers that may hold or take a request: first those that are least likely to
- * be reclaimed together with its owner.
+ * Ranks the peers that may hold or receive a request. Peers that are least likely to be
+ * reclaimed together with the owner come first.
  */
-final class HolderChoice {
+final class HolderRanking {
 
-	private static final int SMALL_FLEET = 16;
+	private static final int MAXIMUM_PEERS_TO_QUERY_ALL = 16;
 
-	private static final int FOUND_PER_DATA_CENTER = 2;
+	private static final int QUERIED_PEERS_PER_DATA_CENTER = 2;
 
 	private final PeerState self;
 
@@ -26,18 +26,18 @@
 
 	private final HandoverSettings settings;
 
-	HolderChoice(PeerState self, PeerTable peers, HandoverSettings settings) {
+	HolderRanking(PeerState self, PeerTable peers, HandoverSettings settings) {
 		this.self = self;
 		this.peers = peers;
 		this.settings = settings;
 	}
 
 	/**
-	 * Ranks the peers for a request: another data center nearby, another zone, the same
-	 * zone, and within each by rendezvous hashing of the request.
+	 * Ranks the peers for a request: first nearby data centers, then other zones, then
+	 * the same zone, and within each group by rendezvous hashing of the request.
 	 * @param request the request
-	 * @param otherDataCenterOnly whether the own data center is no choice
-	 * @return the peers, the best first
+	 * @param otherDataCenterOnly whether to exclude the own data center
+	 * @return the peers, best first
 	 */
 	List<PeerState> rank(RequestId request, boolean otherDataCenterOnly) {
 		List<PeerState> candidates = nearby().stream()
@@ -51,22 +51,23 @@
 	}
 
 	/**
-	 * Returns the peers that probably know a request whose caller came here.
+	 * Returns the peers that probably own or hold a request whose caller reconnected to
+	 * this process.
 	 * @param request the request
-	 * @return the peers to ask
+	 * @return the peers to query
 	 */
 	List<PeerState> probablyKnow(RequestId request) {
 		List<PeerState> all = nearby();
-		if (all.size() <= SMALL_FLEET) {
+		if (all.size() <= MAXIMUM_PEERS_TO_QUERY_ALL) {
 			return all;
 		}
-		List<PeerState> asked = new ArrayList<>();
+		List<PeerState> queried = new ArrayList<>();
 		all.stream().map(PeerState::dataCenter).distinct().forEach((dataCenter) -> {
 			List<PeerState> ranked = Rendezvous.rank(request.value(), this.peers.living(dataCenter),
 					(peer) -> peer.incarnation().toString());
-			ranked.stream().filter(this::isOther).limit(FOUND_PER_DATA_CENTER).forEach(asked::add);
+			ranked.stream().filter(this::isOther).limit(QUERIED_PEERS_PER_DATA_CENTER).forEach(queried::add);
 		});
-		return asked;
+		return queried;
 	}
 
 	private List<PeerState> nearby() {
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HolderSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HolderSystem.java
@@ -10,7 +10,7 @@
 import org.banyancove.core.peer.PeerMessage;
 
 /**
- * Holds copies of requests for the processes that own them.
+ * Manages the copies of requests held for other processes.
  */
 final class HolderSystem {
 
@@ -31,7 +31,7 @@
 		this.settings = settings;
 	}
 
-	void take(PeerMessage.HoldRequest message, boolean stopping) {
+	void receive(PeerMessage.HoldRequest message, boolean stopping) {
 		RequestId id = message.held().request();
 		HeldCopy copy = this.table.held(id);
 		if (copy != null) {
@@ -48,18 +48,18 @@
 		this.messages.acknowledge(message.from(), id, message.ownership(), copy.answer.nextOffset(), true);
 	}
 
-	void take(PeerMessage.HoldProgress message) {
+	void receive(PeerMessage.HoldProgress message) {
 		HeldCopy copy = this.table.held(message.request());
 		if (copy == null || copy.ownership() != message.ownership()) {
 			this.messages.acknowledge(message.from(), message.request(), message.ownership(), 0, false);
 			return;
 		}
-		this.table.update(copy, () -> copy.take(message.progress()));
+		this.table.update(copy, () -> copy.update(message.progress()));
 		this.messages.acknowledge(message.from(), message.request(), message.ownership(), copy.answer.nextOffset(),
 				true);
 	}
 
-	void take(PeerMessage.HoldReleased message) {
+	void receive(PeerMessage.HoldReleased message) {
 		HeldCopy copy = this.table.held(message.request());
 		if (copy != null && !copy.hasEnded()) {
 			this.table.update(copy, () -> copy.end(message.totalOffset(), message.end()));
@@ -69,15 +69,15 @@
 		this.messages.acknowledge(message.from(), message.request(), message.ownership(), message.totalOffset(), false);
 	}
 
-	void take(PeerMessage.HoldDropped message) {
+	void receive(PeerMessage.HoldDropped message) {
 		HeldCopy copy = this.table.held(message.request());
 		if (copy != null && copy.owner().equals(message.from()) && copy.ownership() == message.ownership()) {
 			this.table.release(message.request());
 		}
 	}
 
-	// Returns the copy of a request that is handed over, which is no longer held.
-	HeldCopy takeOut(PeerMessage.HandOver message) {
+	// Removes and returns the copy of a request that is handed over to this process.
+	HeldCopy removeCopy(PeerMessage.HandOver message) {
 		HeldCopy copy = this.table.held(message.held().request());
 		if (copy != null) {
 			this.table.release(message.held().request());
@@ -86,7 +86,7 @@
 		return new HeldCopy(message.held(), message.from(), message.ownership(), expiryOf(message.held()));
 	}
 
-	void forgetTheOld(Instant now) {
+	void removeExpired(Instant now) {
 		for (HeldCopy copy : this.table.held()) {
 			if (copy.expiry.isBefore(now)) {
 				this.table.release(copy.held.request());
@@ -99,7 +99,7 @@
 		return held.deadline().plus(this.settings.keepEnded());
 	}
 
-	// Ended answers are kept only for callers that come back, so they make room first.
+	// Ended answers are only kept for callers that reconnect, so they are evicted first.
 	private boolean isFull() {
 		while (isAtLimit() && !this.endedCopies.isEmpty()) {
 			HeldCopy copy = this.table.held(this.endedCopies.poll());
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/OwnedRequest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/OwnedRequest.java
@@ -17,16 +17,18 @@
 
 	final HeldRequest held;
 
-	final Set<Incarnation> tried = new HashSet<>();
+	final Set<Incarnation> triedPeers = new HashSet<>();
 
-	/** The peers that were asked to hold the request and not told to drop it since. */
-	final Set<Incarnation> asked = new HashSet<>();
+	/**
+	 * The peers that were requested to hold the request and not told to drop it since.
+	 */
+	final Set<Incarnation> requestedHolders = new HashSet<>();
 
 	boolean accepted;
 
 	boolean holderAcknowledged;
 
-	int unanswered;
+	int unacknowledged;
 
 	long holderOffset;
 
@@ -54,11 +56,11 @@
 		return this.ownership;
 	}
 
-	void raiseOwnership(long higher) {
-		Invariant.check(higher > this.ownership, "ownership of %s falls from %s to %s", this.held.request(),
-				this.ownership, higher);
-		this.ownership = higher;
-		this.offeredOwnership = higher;
+	void raiseOwnership(long newOwnership) {
+		Invariant.check(newOwnership > this.ownership, "ownership of %s decreases from %s to %s", this.held.request(),
+				this.ownership, newOwnership);
+		this.ownership = newOwnership;
+		this.offeredOwnership = newOwnership;
 	}
 
 	Instant due() {
@@ -70,24 +72,26 @@
 	}
 
 	/**
-	 * Returns whether a peer that says it holds the request becomes its holder: none is
-	 * yet, the request goes on here, and the peer was not told to drop it meanwhile.
+	 * Returns whether a peer that acknowledges holding the request becomes its holder:
+	 * there is no acknowledged holder, the request is neither being handed over nor
+	 * ended, and the peer has not been told to drop it.
 	 * @param peer the peer
-	 * @return whether it becomes the holder
+	 * @return {@code true} if the peer becomes the holder
 	 */
-	boolean canBeHeldBy(Incarnation peer) {
-		return !this.holderAcknowledged && this.receiver == null && this.end == null && this.asked.contains(peer);
+	boolean acceptsHolder(Incarnation peer) {
+		return !this.holderAcknowledged && this.receiver == null && this.end == null
+				&& this.requestedHolders.contains(peer);
 	}
 
 	/**
-	 * Forgets the holder, so that another one is sought.
+	 * Clears the holder, so that another one can be selected.
 	 */
 	void dropHolder() {
 		this.holder = null;
 		this.holderAcknowledged = false;
 		this.holderOffset = 0;
-		this.unanswered = 0;
-		this.tried.clear();
+		this.unacknowledged = 0;
+		this.triedPeers.clear();
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/OwnerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/OwnerSystem.java
@@ -21,14 +21,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds a holder for each request that this process owns, copies the answer's progress to
- * it, and hands the request over when this process leaves.
+ * Manages the requests owned by this process: finds a holder for each request, copies the
+ * answer's progress to the holder, and hands the request over when this process leaves.
  */
 final class OwnerSystem {
 
-	private static final int RELEASE_TRIES = 5;
+	private static final int MAXIMUM_RELEASE_ATTEMPTS = 5;
 
-	private static final int LARGEST_HAND_OVER_CHARACTERS = 1 << 20;
+	private static final int MAXIMUM_HANDOVER_CHARACTERS = 1 << 20;
 
 	private final Incarnation self;
 
@@ -36,7 +36,7 @@
 
 	private final HoldTable table;
 
-	private final DepartedTable departed;
+	private final FormerRequestTable formerRequests;
 
 	private final InstantSource clock;
 
@@ -46,44 +46,44 @@
 
 	private final HandoverPort port;
 
-	private final HolderChoice choice;
+	private final HolderRanking ranking;
 
 	private final HandoverCounters counters;
 
 	private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparing(Timer::due));
 
-	private final Map<Incarnation, Instant> avoided = new HashMap<>();
+	private final Map<Incarnation, Instant> avoidedPeers = new HashMap<>();
 
 	private boolean handingOver;
 
 	private boolean otherDataCenterOnly;
 
-	OwnerSystem(Incarnation self, PeerTable peers, HoldTable table, DepartedTable departed, InstantSource clock,
-			HandoverSettings settings, HoldMessages messages, HandoverPort port, HolderChoice choice,
-			HandoverCounters counters) {
+	OwnerSystem(Incarnation self, PeerTable peers, HoldTable table, FormerRequestTable formerRequests,
+			InstantSource clock, HandoverSettings settings, HoldMessages messages, HandoverPort port,
+			HolderRanking ranking, HandoverCounters counters) {
 		this.self = self;
 		this.peers = peers;
 		this.table = table;
-		this.departed = departed;
+		this.formerRequests = formerRequests;
 		this.clock = clock;
 		this.settings = settings;
 		this.messages = messages;
 		this.port = port;
-		this.choice = choice;
+		this.ranking = ranking;
 		this.counters = counters;
 	}
 
 	void begin(HeldRequest held) {
 		OwnedRequest request = new OwnedRequest(held, OwnershipNumber.FIRST);
 		this.table.own(request);
-		seekHolder(request);
+		findHolder(request);
 	}
 
 	void end(OwnedRequest request, long totalOffset, EndOfAnswer end) {
 		request.end = end;
 		request.totalOffset = totalOffset;
 		request.receiver = null;
-		request.unanswered = 0;
+		request.unacknowledged = 0;
 		release(request);
 	}
 
@@ -100,15 +100,15 @@
 		}
 	}
 
-	void forgetTheOld(Instant now) {
-		this.avoided.values().removeIf((until) -> until.isBefore(now));
+	void removeExpired(Instant now) {
+		this.avoidedPeers.values().removeIf((until) -> until.isBefore(now));
 	}
 
 	void handOverAll(boolean wholeDataCenter) {
 		this.handingOver = true;
 		this.otherDataCenterOnly = wholeDataCenter;
 		this.table.owned().forEach((request) -> {
-			request.tried.clear();
+			request.triedPeers.clear();
 			handOver(request);
 		});
 	}
@@ -117,11 +117,11 @@
 		return this.handingOver;
 	}
 
-	void seekHoldersForTheUnheld() {
+	void findMissingHolders() {
 		for (OwnedRequest request : this.table.owned()) {
 			if (request.holder == null && request.receiver == null && request.end == null) {
-				request.tried.clear();
-				seekHolderOrReceiver(request);
+				request.triedPeers.clear();
+				findHolderOrReceiver(request);
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 				continue;
 			}
 			if (request.end != null) {
-				depart(request);
+				retire(request);
 			}
 			else if (request.receiver == null) {
 				replaceHolder(request);
@@ -141,12 +141,12 @@
 		}
 	}
 
-	void own(HeldCopy copy, long ownership) {
-		Invariant.check(ownership >= copy.ownership(), "ownership of %s falls from %s to %s", copy.held.request(),
+	void becomeOwner(HeldCopy copy, long ownership) {
+		Invariant.check(ownership >= copy.ownership(), "ownership of %s decreases from %s to %s", copy.held.request(),
 				copy.ownership(), ownership);
 		OwnedRequest request = new OwnedRequest(copy.held, ownership);
 		request.accepted = true;
-		this.departed.remove(copy.held.request());
+		this.formerRequests.remove(copy.held.request());
 		this.table.own(request);
 		if (copy.held.kind() == CallKind.AT_MOST_ONCE) {
 			this.port.adoptKeyed(copy.held);
@@ -155,14 +155,15 @@
 			this.port.takeOver(copy.held, copy.progress());
 		}
 		if (request.end == null && this.table.owns(copy.held.request())) {
-			seekHolderOrReceiver(request);
+			findHolderOrReceiver(request);
 		}
 	}
 
-	// Another process handed over what this one owns already, under a higher number.
-	void raise(OwnedRequest request, long ownership) {
+	// Applies a handover with a higher number of a request that this process already
+	// owns.
+	void raiseOwnership(OwnedRequest request, long ownership) {
 		request.raiseOwnership(ownership);
-		tellHolder(request);
+		notifyHolder(request);
 	}
 
 	void acknowledged(PeerMessage.HoldAcknowledged message) {
@@ -171,20 +172,21 @@
 			return;
 		}
 		if (message.ownership() > request.ownership()) {
-			boolean tookIt = message.from().equals(request.receiver);
-			if (tookIt) {
+			boolean handedOver = message.from().equals(request.receiver);
+			if (handedOver) {
 				this.counters.countHandedOver();
 				giveUp(request, message.from(), message.ownership());
 			}
 			else {
-				lose(request, message.from(), message.ownership());
+				loseOwnership(request, message.from(), message.ownership());
 			}
 			return;
 		}
-		// The first of the peers asked that says it holds the request is its holder. One
-		// far away answers later than one nearby: dropped for its lateness, it would
-		// leave the request to a neighbor that is reclaimed with this process.
-		if (message.held() && message.ownership() == request.ownership() && request.canBeHeldBy(message.from())) {
+		// The first requested peer that acknowledges the request becomes its holder, even
+		// if another peer has been requested since. A remote peer answers later than a
+		// nearby one; if late acknowledgements were ignored, the holder would be a
+		// neighbor that may be reclaimed together with this process.
+		if (message.held() && message.ownership() == request.ownership() && request.acceptsHolder(message.from())) {
 			this.table.setHolder(request, message.from());
 		}
 		if (!message.from().equals(request.holder)) {
@@ -195,24 +197,24 @@
 		}
 		if (request.end != null) {
 			if (!message.held()) {
-				depart(request);
+				retire(request);
 			}
 			return;
 		}
 		if (message.held()) {
-			held(request, message.nextOffset());
+			holderAcknowledged(request, message.nextOffset());
 		}
 		else if (request.receiver == null) {
-			refused(request);
+			holderRefused(request);
 		}
 	}
 
 	void handOverAnswered(PeerMessage.HandOverAcknowledged message) {
 		OwnedRequest request = this.table.owned(message.request());
 		if (request == null) {
-			DepartedTable.Departed gone = this.departed.find(message.request());
-			if (gone != null && message.accepted() && gone.ownership() > message.ownership()) {
-				this.messages.acknowledge(message.from(), message.request(), gone.ownership(), 0, false);
+			FormerRequestTable.FormerRequest former = this.formerRequests.find(message.request());
+			if (former != null && message.accepted() && former.ownership() > message.ownership()) {
+				this.messages.acknowledge(message.from(), message.request(), former.ownership(), 0, false);
 			}
 			return;
 		}
@@ -221,56 +223,57 @@
 			giveUp(request, message.from(), message.ownership());
 		}
 		else if (message.accepted()) {
-			// A late word from a peer that was asked before: another one is being asked
-			// under a higher number, so this one must not go on.
+			// A late acknowledgement of a previous receiver. The request has been offered
+			// to another receiver under a higher number, so the previous one must give it
+			// up.
 			this.messages.acknowledge(message.from(), message.request(), request.offeredOwnership, 0, false);
 		}
 		else if (message.ownership() > request.offeredOwnership) {
-			lose(request, message.from(), message.ownership());
+			loseOwnership(request, message.from(), message.ownership());
 		}
 		else if (message.from().equals(request.receiver)) {
-			request.tried.add(message.from());
+			request.triedPeers.add(message.from());
 			handOver(request);
 		}
 	}
 
-	void lose(OwnedRequest request, Incarnation to, long ownership) {
+	void loseOwnership(OwnedRequest request, Incarnation to, long ownership) {
 		this.counters.countLost();
 		giveUp(request, to, ownership);
 	}
 
-	private void seekHolder(OwnedRequest request) {
-		List<PeerState> candidates = this.choice.rank(request.held.request(), false)
+	private void findHolder(OwnedRequest request) {
+		List<PeerState> candidates = this.ranking.rank(request.held.request(), false)
 			.stream()
-			.filter((peer) -> !request.tried.contains(peer.incarnation()))
+			.filter((peer) -> !request.triedPeers.contains(peer.incarnation()))
 			.sorted(Comparator.comparing((PeerState peer) -> isAvoided(peer.incarnation())))
 			.toList();
 		if (candidates.isEmpty() && this.peers.isJoining()) {
 			schedule(request, this.settings.acknowledgeTimeout());
 			return;
 		}
-		if (candidates.isEmpty() || request.tried.size() >= this.settings.holderTries()) {
-			goOnAlone(request);
+		if (candidates.isEmpty() || request.triedPeers.size() >= this.settings.maximumHolderAttempts()) {
+			continueWithoutHolder(request);
 			return;
 		}
 		PeerState holder = candidates.getFirst();
 		this.table.setHolder(request, holder.incarnation());
-		request.tried.add(holder.incarnation());
-		request.asked.add(holder.incarnation());
-		this.messages.askToHold(holder.incarnation(), request.held, request.ownership());
+		request.triedPeers.add(holder.incarnation());
+		request.requestedHolders.add(holder.incarnation());
+		this.messages.requestHold(holder.incarnation(), request.held, request.ownership());
 		schedule(request, this.settings.acknowledgeTimeout());
 	}
 
-	private void seekHolderOrReceiver(OwnedRequest request) {
+	private void findHolderOrReceiver(OwnedRequest request) {
 		if (this.handingOver && request.accepted) {
 			handOver(request);
 		}
 		else {
-			seekHolder(request);
+			findHolder(request);
 		}
 	}
 
-	private void goOnAlone(OwnedRequest request) {
+	private void continueWithoutHolder(OwnedRequest request) {
 		this.table.setHolder(request, null);
 		request.dropHolder();
 		schedule(request, this.settings.progressInterval());
@@ -290,23 +293,23 @@
 
 	private void timeout(OwnedRequest request) {
 		if (request.end != null) {
-			releaseAgain(request);
+			retryRelease(request);
 		}
 		else if (request.receiver != null) {
-			request.tried.add(request.receiver);
+			request.triedPeers.add(request.receiver);
 			avoid(request.receiver);
 			handOver(request);
 		}
 		else if (this.handingOver && request.accepted) {
-			request.tried.clear();
+			request.triedPeers.clear();
 			handOver(request);
 		}
 		else if (request.holder == null) {
-			seekHolder(request);
+			findHolder(request);
 		}
 		else if (!request.holderAcknowledged) {
 			avoid(request.holder);
-			seekHolder(request);
+			findHolder(request);
 		}
 		else {
 			copyProgress(request);
@@ -315,11 +318,11 @@
 
 	private void copyProgress(OwnedRequest request) {
 		Incarnation holder = request.holder;
-		if (holder == null || request.unanswered >= this.settings.silentCopies()) {
+		if (holder == null || request.unacknowledged >= this.settings.maximumUnacknowledgedCopies()) {
 			replaceHolder(request);
 			return;
 		}
-		request.unanswered++;
+		request.unacknowledged++;
 		this.messages.copyProgress(holder, request.held.request(), request.ownership(),
 				this.messages.progress(request, request.holderOffset, this.settings.progressCharacters()));
 		schedule(request, this.settings.progressInterval());
@@ -331,22 +334,22 @@
 		request.dropHolder();
 		if (former != null) {
 			avoid(former);
-			request.tried.add(former);
+			request.triedPeers.add(former);
 			drop(former, request);
 		}
 		this.counters.countHolderReplaced();
-		seekHolder(request);
+		findHolder(request);
 	}
 
 	private void drop(Incarnation peer, OwnedRequest request) {
-		request.asked.remove(peer);
+		request.requestedHolders.remove(peer);
 		this.messages.drop(peer, request);
 	}
 
 	private void release(OwnedRequest request) {
 		Incarnation holder = request.holder;
 		if (holder == null) {
-			depart(request);
+			retire(request);
 			return;
 		}
 		RequestId id = request.held.request();
@@ -356,10 +359,10 @@
 		schedule(request, this.settings.handOverTimeout());
 	}
 
-	private void releaseAgain(OwnedRequest request) {
-		request.unanswered++;
-		if (request.unanswered >= RELEASE_TRIES) {
-			depart(request);
+	private void retryRelease(OwnedRequest request) {
+		request.unacknowledged++;
+		if (request.unacknowledged >= MAXIMUM_RELEASE_ATTEMPTS) {
+			retire(request);
 		}
 		else {
 			release(request);
@@ -379,13 +382,13 @@
 			return;
 		}
 		if (!request.accepted) {
-			// It goes over like the rest once it is accepted.
+			// The request is handed over once it is accepted.
 			return;
 		}
 		PeerState receiver = nextReceiver(request);
 		if (receiver == null) {
 			request.receiver = null;
-			request.tried.clear();
+			request.triedPeers.clear();
 			schedule(request, this.settings.handOverTimeout());
 			return;
 		}
@@ -396,25 +399,25 @@
 			from = request.holderOffset;
 		}
 		this.messages.handOver(receiver.incarnation(), request,
-				this.messages.progress(request, from, LARGEST_HAND_OVER_CHARACTERS));
+				this.messages.progress(request, from, MAXIMUM_HANDOVER_CHARACTERS));
 		schedule(request, this.settings.handOverTimeout());
 	}
 
 	private @Nullable PeerState nextReceiver(OwnedRequest request) {
 		RequestId id = request.held.request();
-		List<PeerState> ranked = this.choice.rank(id, this.otherDataCenterOnly);
+		List<PeerState> ranked = this.ranking.rank(id, this.otherDataCenterOnly);
 		if (ranked.isEmpty()) {
-			ranked = this.choice.rank(id, false);
+			ranked = this.ranking.rank(id, false);
 		}
 		return ranked.stream()
-			.filter((peer) -> !request.tried.contains(peer.incarnation()))
+			.filter((peer) -> !request.triedPeers.contains(peer.incarnation()))
 			.min(Comparator.comparing((PeerState peer) -> isAvoided(peer.incarnation()))
 				.thenComparing((peer) -> !peer.incarnation().equals(request.holder)))
 			.orElse(null);
 	}
 
-	private void held(OwnedRequest request, long nextOffset) {
-		request.unanswered = 0;
+	private void holderAcknowledged(OwnedRequest request, long nextOffset) {
+		request.unacknowledged = 0;
 		request.holderOffset = nextOffset;
 		if (request.holderAcknowledged) {
 			return;
@@ -426,43 +429,43 @@
 		accept(request, false);
 	}
 
-	private void refused(OwnedRequest request) {
+	private void holderRefused(OwnedRequest request) {
 		this.table.setHolder(request, null);
 		request.holderAcknowledged = false;
 		request.holderOffset = 0;
-		seekHolder(request);
+		findHolder(request);
 	}
 
-	private void tellHolder(OwnedRequest request) {
+	private void notifyHolder(OwnedRequest request) {
 		Incarnation holder = request.holder;
 		if (holder != null) {
-			this.messages.askToHold(holder, request.held, request.ownership());
+			this.messages.requestHold(holder, request.held, request.ownership());
 		}
 	}
 
 	private void giveUp(OwnedRequest request, Incarnation to, long ownership) {
-		Invariant.check(ownership > request.ownership(), "request %s given up under %s for %s", request.held.request(),
-				request.ownership(), ownership);
+		Invariant.check(ownership > request.ownership(), "request %s given up under ownership %s for %s",
+				request.held.request(), request.ownership(), ownership);
 		Incarnation holder = request.holder;
 		if (holder != null && !holder.equals(to)) {
 			this.messages.drop(holder, request);
 		}
 		this.table.disown(request);
-		this.departed.add(request, to, ownership);
+		this.formerRequests.add(request, to, ownership);
 		this.port.released(request.held.request(), to);
 	}
 
-	private void depart(OwnedRequest request) {
+	private void retire(OwnedRequest request) {
 		this.table.disown(request);
-		this.departed.add(request, this.self, request.ownership());
+		this.formerRequests.add(request, this.self, request.ownership());
 	}
 
 	private void avoid(Incarnation peer) {
-		this.avoided.put(peer, this.clock.instant().plus(this.settings.avoidTime()));
+		this.avoidedPeers.put(peer, this.clock.instant().plus(this.settings.avoidanceTime()));
 	}
 
 	private boolean isAvoided(Incarnation peer) {
-		return this.avoided.containsKey(peer);
+		return this.avoidedPeers.containsKey(peer);
 	}
 
 	private void schedule(OwnedRequest request, Duration delay) {
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/OwnershipNumber.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/OwnershipNumber.java
@@ -4,11 +4,12 @@
 import org.banyancove.core.membership.Rendezvous;
 
 /**
- * Numbers that order the owners of a request. A later owner has a higher number.
+ * Ownership numbers, which order the owners of a request. A later owner has a higher
+ * number.
  * <p>
- * Two processes on both sides of a cut may each follow the same owner without knowing of
- * the other. The low bits therefore come from the new owner, so that their numbers differ
- * and the one with the lower number gives way when they meet.
+ * During a network partition, two processes may succeed the same owner independently. The
+ * low bits are therefore derived from the new owner, so that their numbers differ and the
+ * process with the lower number gives up the request after the partition heals.
  */
 public final class OwnershipNumber {
 
@@ -21,8 +22,8 @@
 	}
 
 	/**
-	 * Returns a number above another one.
-	 * @param number the number
+	 * Returns a number that is higher than the given one.
+	 * @param number the current number
 	 * @param owner the new owner
 	 * @return the higher number
 	 */
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who owns an accepted request, who holds a copy of it, and how it changes hands.
+ * Ownership of accepted requests, replication to holders, and handover between entries.
  */
 @NullMarked
 package org.banyancove.core.handover;
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/EntryFleet.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/EntryFleet.java
@@ -37,8 +37,9 @@
 import org.banyancove.core.stream.StreamMove;
 
 /**
- * Four entries in two data centers, five engines and their callers over a fake network in
- * one thread, with faults. What callers see is checked while it runs.
+ * Simulation of four entries in two data centers, five engines and their callers over a
+ * fake network with faults, in a single thread. The observations of callers are checked
+ * during the run.
  */
 final class EntryFleet {
 
@@ -50,7 +51,7 @@
 
 	private static final int FULL_NOTICE_MILLIS = 2000;
 
-	private static final Duration SETTLED = Duration.ofSeconds(20);
+	private static final Duration STABILIZATION_TIME = Duration.ofSeconds(20);
 
 	final Map<Fault, Integer> faults = new EnumMap<>(Fault.class);
 
@@ -60,7 +61,7 @@
 
 	final Map<StreamMove, Long> moves = new EnumMap<>(StreamMove.class);
 
-	int acceptedAlone;
+	int acceptedWithoutHolder;
 
 	int refused;
 
@@ -80,17 +81,17 @@
 
 	private final Map<String, Instant> pausedUntil = new LinkedHashMap<>();
 
-	private final Set<FakeEngine.Connection> silent = new HashSet<>();
+	private final Set<FakeEngine.Connection> silentConnections = new HashSet<>();
 
 	private final Set<EndpointId> leavingEngines = new HashSet<>();
 
-	private Instant cutUntil = Instant.EPOCH;
+	private Instant partitionedUntil = Instant.EPOCH;
 
 	private Instant now = Instant.EPOCH;
 
 	private long sequence;
 
-	private int started;
+	private int startedCount;
 
 	private boolean faulty;
 
@@ -121,7 +122,7 @@
 			advance(1);
 		}
 		this.faulty = false;
-		this.cutUntil = this.now;
+		this.partitionedUntil = this.now;
 		this.pausedUntil.clear();
 		advance(4000);
 		for (FakeEntry entry : List.copyOf(this.entries.values())) {
@@ -170,8 +171,8 @@
 			case ENGINE_RECLAIMED -> reclaim(Objects.requireNonNull(engine));
 			case ENGINE_DIES -> killEngine(Objects.requireNonNull(engine));
 			case CONNECTION_SILENT -> this.engines.values()
-				.forEach((each) -> each.sentTo.keySet().stream().limit(1).forEach(this.silent::add));
-			case DATA_CENTERS_CUT -> this.cutUntil = later(20_000);
+				.forEach((each) -> each.sentTo.keySet().stream().limit(1).forEach(this.silentConnections::add));
+			case DATA_CENTERS_CUT -> this.partitionedUntil = later(20_000);
 		}
 	}
 
@@ -182,29 +183,31 @@
 		entry.noticeReclaim(wholeDataCenter);
 		Instant noticeAt = this.now;
 		at(this.now.plusMillis(millisLeft), () -> {
-			if (millisLeft >= FULL_NOTICE_MILLIS && hadReceiver(entry, noticeAt)) {
+			if (millisLeft >= FULL_NOTICE_MILLIS && hasEligibleReceiver(entry, noticeAt)) {
 				this.fullNotices++;
-				this.callers.values().forEach((caller) -> caller.reclaimed(entry, isKeptBeside(entry, caller.request)));
+				this.callers.values()
+					.forEach((caller) -> caller.reclaimed(entry, isKeptByOthers(entry, caller.request)));
 			}
 			kill(entry);
 		});
 	}
 
-	// Whether an entry could have taken the leaving one's requests during all of its
-	// notice: known well before, neither leaving nor paused nor cut off.
-	private boolean hadReceiver(FakeEntry leaving, Instant noticeAt) {
-		Instant settled = noticeAt.minus(SETTLED);
+	// Whether an entry could have received the requests of the leaving one during its
+	// entire notice: joined well before, and neither leaving, paused nor partitioned.
+	private boolean hasEligibleReceiver(FakeEntry leaving, Instant noticeAt) {
+		Instant stableSince = noticeAt.minus(STABILIZATION_TIME);
 		return this.entries.containsValue(leaving) && !isPaused(leaving)
 				&& this.entries.values().stream().anyMatch((entry) -> {
-					Instant paused = this.pausedUntil.getOrDefault(entry.self.address(), Instant.EPOCH);
-					boolean cut = !entry.self.dataCenter().equals(leaving.self.dataCenter())
-							&& this.cutUntil.isAfter(settled);
-					return !entry.leaving && !cut && paused.isBefore(settled) && entry.startedAt.isBefore(settled)
+					Instant pauseEnd = this.pausedUntil.getOrDefault(entry.self.address(), Instant.EPOCH);
+					boolean partitioned = !entry.self.dataCenter().equals(leaving.self.dataCenter())
+							&& this.partitionedUntil.isAfter(stableSince);
+					return !entry.leaving && !partitioned && pauseEnd.isBefore(stableSince)
+							&& entry.startedAt.isBefore(stableSince)
 							&& entry.peers.isLiving(leaving.self.incarnation());
 				});
 	}
 
-	private boolean isKeptBeside(FakeEntry leaving, RequestId request) {
+	private boolean isKeptByOthers(FakeEntry leaving, RequestId request) {
 		return !leaving.holds.owns(request) || this.entries.values()
 			.stream()
 			.anyMatch((entry) -> entry != leaving && (entry.holds.owns(request) || entry.holds.holds(request)));
@@ -213,7 +216,7 @@
 	private void kill(FakeEntry entry) {
 		if (this.entries.remove(entry.self.address(), entry)) {
 			count(entry);
-			this.callers.values().forEach((caller) -> caller.entryDied(entry, isKeptAnywhere(caller.request)));
+			this.callers.values().forEach((caller) -> caller.entryDied(entry, isKept(caller.request)));
 			this.engines.values()
 				.forEach((engine) -> engine.sentTo.keySet()
 					.removeIf((connection) -> connection.entry().equals(entry.self.address())));
@@ -221,7 +224,7 @@
 		}
 	}
 
-	private boolean isKeptAnywhere(RequestId request) {
+	private boolean isKept(RequestId request) {
 		return this.entries.values()
 			.stream()
 			.anyMatch((entry) -> entry.holds.owns(request) || entry.holds.holds(request));
@@ -237,8 +240,8 @@
 	}
 
 	private void startEntry(String dataCenter) {
-		this.started++;
-		String name = "entry-" + this.started;
+		this.startedCount++;
+		String name = "entry-" + this.startedCount;
 		PeerState state = new PeerState(new Incarnation(new VmId(name), this.random.nextLong()),
 				new DataCenterName(dataCenter), new ZoneName(dataCenter + this.random.nextInt(2)), name + ":1", 0,
 				PeerStatus.ALIVE);
@@ -249,8 +252,8 @@
 	}
 
 	private void startEngine() {
-		this.started++;
-		EndpointId id = new EndpointId("engine-" + this.started);
+		this.startedCount++;
+		EndpointId id = new EndpointId("engine-" + this.startedCount);
 		this.engines.put(id, new FakeEngine(id, this.random));
 	}
 
@@ -294,12 +297,12 @@
 	void command(FakeEntry entry, StreamCommand command) {
 		at(later(200), () -> {
 			if (this.entries.containsValue(entry) && !isPaused(entry)) {
-				carryOut(entry, command);
+				execute(entry, command);
 			}
 		});
 	}
 
-	private void carryOut(FakeEntry entry, StreamCommand command) {
+	private void execute(FakeEntry entry, StreamCommand command) {
 		RequestId request = command.request();
 		trace(request, entry.self.incarnation().vm() + " " + command);
 		switch (command) {
@@ -307,9 +310,9 @@
 			case StreamCommand.Start start -> open(entry, request, start.attempt(), start.endpoint(), 0, true);
 			case StreamCommand.Reattach reattach ->
 				open(entry, request, reattach.attempt(), reattach.endpoint(), reattach.fromOffset(), false);
-			case StreamCommand.Continue go -> {
-				check(go.text().equals(FakeEngine.text(request, 0, go.fromOffset())), request, "resume text");
-				open(entry, request, go.attempt(), go.endpoint(), go.fromOffset(), true);
+			case StreamCommand.Continue resume -> {
+				check(resume.text().equals(FakeEngine.text(request, 0, resume.fromOffset())), request, "resume text");
+				open(entry, request, resume.attempt(), resume.endpoint(), resume.fromOffset(), true);
 			}
 			case StreamCommand.MoveCache move -> {
 				FakeEngine source = this.engines.get(move.source());
@@ -348,10 +351,11 @@
 	}
 
 	/**
-	 * Passes a piece on: late, repeated, reordered, lost, or into a silent connection.
+	 * Sends a piece, possibly delayed, duplicated, reordered, lost, or over a silent
+	 * connection.
 	 */
 	private void stream(FakeEngine engine, FakeEngine.Sent sent) {
-		if (this.silent.contains(sent.connection()) || (this.faulty && this.random.nextInt(200) == 0)) {
+		if (this.silentConnections.contains(sent.connection()) || (this.faulty && this.random.nextInt(200) == 0)) {
 			return;
 		}
 		int copies = (this.faulty && this.random.nextInt(50) == 0) ? 2 : 1;
@@ -396,8 +400,9 @@
 		if (to == null) {
 			return;
 		}
-		boolean cut = this.now.isBefore(this.cutUntil) && !from.dataCenter().equals(to.self.dataCenter());
-		if (cut) {
+		boolean partitioned = this.now.isBefore(this.partitionedUntil)
+				&& !from.dataCenter().equals(to.self.dataCenter());
+		if (partitioned) {
 			return;
 		}
 		if (isPaused(to)) {
@@ -408,16 +413,16 @@
 	}
 
 	private void call() {
-		List<FakeEntry> taking = this.entries.values()
+		List<FakeEntry> accepting = this.entries.values()
 			.stream()
 			.filter((entry) -> !entry.leaving && !isPaused(entry))
 			.toList();
-		if (taking.isEmpty()) {
+		if (accepting.isEmpty()) {
 			this.refused++;
 			return;
 		}
 		RequestId request = new RequestId("r" + this.callers.size());
-		FakeEntry entry = taking.get(this.random.nextInt(taking.size()));
+		FakeEntry entry = accepting.get(this.random.nextInt(accepting.size()));
 		this.callers.put(request, new FakeCaller(request, entry, this.now));
 		try {
 			entry.offer(request(request));
@@ -434,7 +439,7 @@
 
 	void accepted(FakeEntry entry, RequestId request, boolean alone) {
 		if (alone) {
-			this.acceptedAlone++;
+			this.acceptedWithoutHolder++;
 		}
 		caller(request).accepted(entry);
 	}
@@ -458,14 +463,14 @@
 		throw new AssertionError("request " + request + " must not be given up: " + failed + caller(request).trace);
 	}
 
-	/** A caller without news goes to another entry, which asks peers. */
+	/** Reconnects a caller without progress to another entry, which queries its peers. */
 	private void poll(FakeCaller caller) {
 		if (!caller.isWaiting()) {
 			return;
 		}
 		FakeEntry entry = caller.entry;
 		boolean gone = !this.entries.containsValue(entry);
-		if (gone || caller.isStuck(this.now)) {
+		if (gone || caller.isStalled(this.now)) {
 			List<FakeEntry> running = List.copyOf(this.entries.values());
 			if (running.isEmpty()) {
 				return;
@@ -473,7 +478,7 @@
 			entry = running.get(this.random.nextInt(running.size()));
 			caller.reconnected(entry, this.now);
 		}
-		if (caller.reconnects && !isPaused(entry) && caller.mayAsk(this.now)) {
+		if (caller.reconnects && !isPaused(entry) && caller.mayPoll(this.now)) {
 			RequestId request = caller.request;
 			PeerMessage.FetchAnswer fetch = new PeerMessage.FetchAnswer(entry.self.incarnation(), request, ACCOUNT,
 					caller.offset);
@@ -507,8 +512,8 @@
 		return until != null && this.now.isBefore(until);
 	}
 
-	private Instant later(int mostMillis) {
-		return this.now.plusMillis(1 + this.random.nextInt(mostMillis));
+	private Instant later(int maximumMillis) {
+		return this.now.plusMillis(1 + this.random.nextInt(maximumMillis));
 	}
 
 	private void at(Instant time, Runnable action) {
@@ -516,8 +521,8 @@
 		this.events.add(new Event(time, this.sequence, action));
 	}
 
-	static void check(boolean holds, RequestId request, String what) {
-		if (!holds) {
+	static void check(boolean condition, RequestId request, String what) {
+		if (!condition) {
 			throw new AssertionError("request " + request + ": " + what);
 		}
 	}
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/EntryFleetTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/EntryFleetTests.java
@@ -11,9 +11,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Long randomised runs. Any seed and length by command:
- * {@code -Dbanyancove.run.seed=7 -Dbanyancove.run.steps=100000}, and fewer faults by
- * {@code -Dbanyancove.run.calm=8}.
+ * Randomised simulations. The seed and length of a run can be set by
+ * {@code -Dbanyancove.run.seed=7 -Dbanyancove.run.steps=100000}, and the fault rate can
+ * be reduced by {@code -Dbanyancove.run.calm=8}.
  */
 class EntryFleetTests {
 
@@ -22,28 +22,27 @@
 	private static final double FAULT_RATE = 0.02;
 
 	/*
-	 * Callers get their whole answers though entries and engines are reclaimed with
-	 * notice, die without, pause and are cut off, several at once, and messages and
-	 * pieces are late, repeated, reordered or lost. An accepted request may be lost only
-	 * if every copy of it died without notice.
+	 * Guards against incomplete answers: entries and engines are reclaimed with notice,
+	 * fail without notice, pause and are partitioned concurrently, and messages and
+	 * pieces are late, duplicated, reordered or lost. An accepted request may only be
+	 * lost if every copy of it is lost without notice.
 	 */
 	@Property(tries = 16, seed = "20261202")
-	void everyAcceptedRequestIsAnsweredWhole(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+	void everyAcceptedRequestReceivesItsCompleteAnswer(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
 		run(seed, STEPS, FAULT_RATE);
 	}
 
 	/*
-	 * The same with few faults and long runs, in which entries have time to settle: a
-	 * request must not be lost by an announced reclaim as long as one entry could have
-	 * taken it.
+	 * As above, with few faults and long runs, which give entries time to stabilize: an
+	 * announced reclaim must not lose a request if another entry could have received it.
 	 */
 	@Property(tries = 6, seed = "20261203")
-	void noAcceptedRequestIsLostByAnAnnouncedReclaim(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+	void announcedReclaimLosesNoAcceptedRequest(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
 		run(seed, 3 * STEPS, FAULT_RATE / 8);
 	}
 
 	@Test
-	void aRunOfTheSeedAndLengthThatTheCommandGives() {
+	void runWithSelectedSeedAndLength() {
 		run(Long.getLong("banyancove.run.seed", 1L), Integer.getInteger("banyancove.run.steps", STEPS),
 				FAULT_RATE / Integer.getInteger("banyancove.run.calm", 1));
 	}
@@ -56,7 +55,7 @@
 		System.out.printf(
 				"run seed=%d steps=%d faults=%s callers=%s refused=%d fullNotices=%d alone=%d handedOver=%d takenOver=%d moves=%s "
 						+ "recomputed=%s%n",
-				seed, steps, fleet.faults, states, fleet.refused, fleet.fullNotices, fleet.acceptedAlone,
+				seed, steps, fleet.faults, states, fleet.refused, fleet.fullNotices, fleet.acceptedWithoutHolder,
 				fleet.handedOver, fleet.takenOver, fleet.moves, fleet.recomputed);
 		assertThat(fleet.callers.values())
 			.allSatisfy((caller) -> assertThat(caller.state()).describedAs("%s", caller.trace)
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/FakeCaller.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/FakeCaller.java
@@ -10,18 +10,18 @@
 import org.banyancove.core.answer.Piece;
 
 /**
- * A caller that reads its answer, goes to another entry when it hears nothing, and checks
- * each token.
+ * A caller that reads its answer, reconnects to another entry without progress, and
+ * verifies each token.
  */
 final class FakeCaller {
 
-	private static final Duration PATIENCE = Duration.ofSeconds(15);
+	private static final Duration STALL_TIMEOUT = Duration.ofSeconds(15);
 
-	private static final Duration POLL = Duration.ofMillis(500);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
 	final RequestId request;
 
-	/** What happened to the request, printed when a check fails. */
+	/** The events of the request, printed if a check fails. */
 	final List<String> trace = new ArrayList<>();
 
 	FakeEntry entry;
@@ -38,14 +38,14 @@
 
 	private boolean lostByAllCopies;
 
-	private Instant heardAt;
+	private Instant progressAt;
 
-	private Instant askedAt = Instant.EPOCH;
+	private Instant polledAt = Instant.EPOCH;
 
 	FakeCaller(RequestId request, FakeEntry entry, Instant now) {
 		this.request = request;
 		this.entry = entry;
-		this.heardAt = now;
+		this.progressAt = now;
 	}
 
 	void accepted(FakeEntry by) {
@@ -57,12 +57,12 @@
 		if (by != this.entry || this.state == State.WHOLE) {
 			return;
 		}
-		List<Piece> taken = this.reader.take(pieces);
-		if (taken == null) {
+		List<Piece> delivered = this.reader.take(pieces);
+		if (delivered == null) {
 			this.reader = new AnswerReader(this.offset);
 			return;
 		}
-		for (Piece piece : taken) {
+		for (Piece piece : delivered) {
 			if (piece.fromOffset() == 0) {
 				this.text.setLength(0);
 				this.offset = 0;
@@ -71,7 +71,7 @@
 					"expected " + this.offset + ", got " + piece.fromOffset());
 			this.text.append(piece.text());
 			this.offset = piece.toOffset();
-			this.heardAt = now;
+			this.progressAt = now;
 		}
 		EntryFleet.check(this.text.toString().equals(FakeEngine.text(this.request, 0, this.offset)), this.request,
 				"wrong text: " + this.text);
@@ -83,16 +83,16 @@
 		}
 	}
 
-	void reclaimed(FakeEntry leaving, boolean keptBeside) {
-		EntryFleet.check(this.state != State.ACCEPTED || keptBeside, this.request,
+	void reclaimed(FakeEntry leaving, boolean keptByOthers) {
+		EntryFleet.check(this.state != State.ACCEPTED || keptByOthers, this.request,
 				"lost by the announced reclaim of " + leaving.self.incarnation() + this.trace);
 	}
 
-	void entryDied(FakeEntry died, boolean keptAnywhere) {
+	void entryDied(FakeEntry died, boolean kept) {
 		if (this.state == State.OFFERED && died == this.entry) {
 			this.state = State.NEVER_ACCEPTED;
 		}
-		else if (this.state == State.ACCEPTED && !keptAnywhere) {
+		else if (this.state == State.ACCEPTED && !kept) {
 			this.lostByAllCopies = true;
 		}
 	}
@@ -101,22 +101,22 @@
 		this.entry = other;
 		this.reconnects = true;
 		this.reader = new AnswerReader(this.offset);
-		this.heardAt = now;
+		this.progressAt = now;
 	}
 
 	boolean isWaiting() {
 		return this.state == State.ACCEPTED;
 	}
 
-	boolean isStuck(Instant now) {
-		return this.heardAt.plus(PATIENCE).isBefore(now);
+	boolean isStalled(Instant now) {
+		return this.progressAt.plus(STALL_TIMEOUT).isBefore(now);
 	}
 
-	boolean mayAsk(Instant now) {
-		if (this.askedAt.plus(POLL).isAfter(now)) {
+	boolean mayPoll(Instant now) {
+		if (this.polledAt.plus(POLL_INTERVAL).isAfter(now)) {
 			return false;
 		}
-		this.askedAt = now;
+		this.polledAt = now;
 		return true;
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/FakeEngine.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/FakeEngine.java
@@ -13,7 +13,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An engine that streams a deterministic answer and runs on when its connection is lost.
+ * An engine that streams a deterministic answer and continues after its connection is
+ * lost.
  */
 final class FakeEngine {
 
@@ -87,7 +88,7 @@
 	}
 
 	/**
-	 * What goes over a connection: a piece, or the end if there is none.
+	 * An item sent over a connection: a piece, or the end of the answer if {@code null}.
 	 */
 	record Sent(Connection connection, @Nullable Piece piece) {
 
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/FakeEntry.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/FakeEntry.java
@@ -35,7 +35,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The three cores of one entry, wired as an entry wires them.
+ * The membership, handover and stream systems of an entry, connected as in the real
+ * entry.
  */
 final class FakeEntry implements MembershipListener, HeartbeatSource, HandoverPort, StreamPort {
 
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/HandoverSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/HandoverSystemTests.java
@@ -58,11 +58,11 @@
 		for (String name : List.of("a1", "a2", "b1", "b2")) {
 			this.entries.put(name + ":1", new Entry(name));
 		}
-		this.entries.values().forEach((entry) -> this.entries.values().forEach((other) -> entry.know(other.self)));
+		this.entries.values().forEach((entry) -> this.entries.values().forEach((other) -> entry.putPeer(other.self)));
 	}
 
 	@Test
-	void aRequestIsAcceptedOnlyAfterAnotherDataCenterHoldsIt() {
+	void requestIsAcceptedOnlyAfterAnotherDataCenterHoldsIt() {
 		Entry owner = entry("a1");
 		owner.handover.offer(request(CallKind.MODEL));
 		assertThat(owner.accepted).isEmpty();
@@ -72,11 +72,11 @@
 	}
 
 	/*
-	 * The caller waits a little longer and is accepted: the first two peers are asked in
-	 * vain, as something swallows all that goes to them, and the third holds the request.
+	 * Guards against a request without a holder: all messages to the first two peers are
+	 * lost, and the third peer holds the request.
 	 */
 	@Test
-	void thePeerAfterASilentOneHoldsTheRequest() {
+	void nextPeerHoldsRequestAfterUnresponsiveOnes() {
 		this.lost = (sent) -> sent.to.startsWith("b");
 		Entry owner = entry("a1");
 		owner.handover.offer(request(CallKind.MODEL));
@@ -86,32 +86,32 @@
 	}
 
 	@Test
-	void withoutAnyPeerTheRequestIsAcceptedAloneAndCounted() {
+	void requestIsAcceptedWithoutHolderAndCountedIfNoPeerAnswers() {
 		this.lost = (sent) -> true;
 		Entry owner = entry("a1");
 		owner.handover.offer(request(CallKind.MODEL));
 		pass(Duration.ofMillis(400));
 		assertThat(owner.accepted).containsEntry(REQUEST, true);
-		assertThat(owner.handover.counters().acceptedAlone()).isEqualTo(1);
+		assertThat(owner.handover.counters().acceptedWithoutHolder()).isEqualTo(1);
 		this.lost = (sent) -> false;
 		pass(Duration.ofSeconds(10));
 		assertThat(holders()).hasSize(1);
 	}
 
 	/*
-	 * A skipper's plan reaches an entry that has only just started and has met no other
-	 * yet. It is accepted a moment later, when a second entry holds it: accepted at once,
-	 * it would be lost with its entry.
+	 * Guards against losing a request with its entry: a request reaches an entry that has
+	 * just started and has not joined any peer yet. It is accepted once a second entry
+	 * holds it.
 	 */
 	@Test
-	void aFreshEntryAcceptsNothingBeforeItsFirstPeerHoldsIt() {
+	void joiningEntryAcceptsRequestOnlyWhenPeerHoldsIt() {
 		Entry owner = new Entry("c1");
 		this.entries.put("c1:1", owner);
 		MembershipFixture.setJoining(owner.peers, true);
 		owner.handover.offer(request(CallKind.MODEL));
 		pass(Duration.ofSeconds(3));
 		assertThat(owner.accepted).isEmpty();
-		meet(owner, "a1");
+		join(owner, "a1");
 		MembershipFixture.setJoining(owner.peers, false);
 		deliver();
 		assertThat(owner.accepted).containsEntry(REQUEST, false);
@@ -119,12 +119,13 @@
 	}
 
 	/*
-	 * A plan's entry asks one in another data center, hears nothing for a while and asks
-	 * its neighbor too. The first word is then the late one, and counts: the neighbor
-	 * would be reclaimed together with the plan's entry when the whole data center goes.
+	 * Guards against a holder that is reclaimed together with the owner: the owner
+	 * requests a peer in another data center, receives no answer and requests its
+	 * neighbor as well. The late acknowledgement arrives first and counts, since the
+	 * neighbor would be reclaimed with the owner if the entire data center leaves.
 	 */
 	@Test
-	void theFirstToAnswerHoldsTheRequestThoughAnotherWasAskedMeanwhile() {
+	void firstPeerToAcknowledgeBecomesHolder() {
 		Entry owner = entry("a1");
 		owner.handover.offer(request(CallKind.MODEL));
 		List<Sent> late = List.copyOf(this.inFlight);
@@ -139,18 +140,17 @@
 	}
 
 	/*
-	 * A plan's entry asks another one to hold it, hears that this one is leaving, and
-	 * tells it to drop the plan. The word that it holds the plan comes after that and is
-	 * no longer true: the plan must not count as accepted by it, or it is lost with its
-	 * entry.
+	 * Guards against accepting a request without a holder: the owner requests a peer to
+	 * hold the request, learns that the peer is leaving, and tells it to drop the
+	 * request. The acknowledgement arrives afterwards and is no longer valid.
 	 */
 	@Test
-	void theLateWordOfAHolderThatWasDroppedDoesNotCount() {
+	void acknowledgementOfDroppedHolderIsIgnored() {
 		Entry owner = entry("a1");
 		owner.handover.offer(request(CallKind.MODEL));
 		Entry dropped = Objects.requireNonNull(this.entries.get(this.inFlight.getFirst().to));
 		PeerState leaving = dropped.self.withStatus(PeerStatus.LEAVING);
-		owner.know(leaving);
+		owner.putPeer(leaving);
 		owner.handover.leaving(leaving);
 		this.inFlight.clear();
 		owner.handover
@@ -159,27 +159,27 @@
 	}
 
 	/*
-	 * A cut-off entry accepts a plan alone. The first peer that it meets holds the plan
-	 * at once: until the next copy of the progress is due the plan would be lost with its
-	 * entry.
+	 * Guards against losing a request with its entry: a partitioned entry accepts a
+	 * request without a holder. The first peer that joins must hold it immediately, not
+	 * only when the next copy of the progress is due.
 	 */
 	@Test
-	void aRequestAcceptedAloneIsHeldByTheFirstPeerThatIsMet() {
+	void requestAcceptedWithoutHolderIsHeldByFirstJoinedPeer() {
 		Entry owner = new Entry("c1");
 		this.entries.put("c1:1", owner);
 		owner.handover.offer(request(CallKind.MODEL));
 		assertThat(owner.accepted).containsEntry(REQUEST, true);
-		meet(owner, "a1");
+		join(owner, "a1");
 		deliver();
 		assertThat(holders()).containsExactly("a1");
 	}
 
 	/*
-	 * The entry that runs the plan dies without notice. Its holder takes the plan over
-	 * with the tokens so far, once, and finds a holder of its own.
+	 * The owner fails without notice. The holder takes the request over once, with the
+	 * tokens so far, and finds another holder.
 	 */
 	@Test
-	void theHolderTakesOverFromADeadOwner() {
+	void holderTakesOverFromFailedOwner() {
 		Entry owner = accepted(CallKind.MODEL);
 		owner.stream(0, 5);
 		pass(Duration.ofSeconds(3));
@@ -187,16 +187,16 @@
 		kill(owner);
 		pass(Duration.ofSeconds(1));
 		assertThat(holder.takenOver).containsOnlyKeys(REQUEST);
-		assertThat(taken(holder).toOffset()).isEqualTo(5);
+		assertThat(progressOf(holder).toOffset()).isEqualTo(5);
 		assertThat(holders()).hasSize(1).doesNotContain(holder.name());
 	}
 
 	/*
-	 * A booking's entry dies after it may have dispatched the call. The holder knows the
-	 * key and runs nothing, since a second run would book twice.
+	 * Guards against running an at-most-once call twice: the owner fails when it may have
+	 * dispatched the call. The holder must not run it.
 	 */
 	@Test
-	void aCallThatMayRunAtMostOnceIsNeverRunByItsHolder() {
+	void holderNeverRunsAtMostOnceCall() {
 		Entry owner = accepted(CallKind.AT_MOST_ONCE);
 		kill(owner);
 		pass(Duration.ofSeconds(5));
@@ -208,12 +208,13 @@
 	}
 
 	/*
-	 * The owner is paused, believed dead, and its holder takes over. When it wakes up,
-	 * its next word to the holder is answered with the higher number, and it stops before
-	 * it can hand the request to a third entry.
+	 * Guards against two owners: the owner is paused and considered failed, and its
+	 * holder takes over. After the owner resumes, its next message to the holder is
+	 * answered with the higher number, and it gives up the request before it can hand it
+	 * to a third entry.
 	 */
 	@Test
-	void aPausedOwnerThatWakesUpGivesWay() {
+	void resumedOwnerGivesUpRequest() {
 		Entry owner = accepted(CallKind.MODEL);
 		Entry holder = entry(holders().getFirst());
 		holder.handover.died(owner.self);
@@ -225,12 +226,12 @@
 	}
 
 	/*
-	 * On a reclaim notice the message that hands the request over is lost. The owner goes
-	 * on owning it and hands it to the next peer; giving it up unanswered would lose it
-	 * wherever no copy is held.
+	 * Guards against losing a request in a handover: the handover message is lost. The
+	 * owner keeps the request and hands it over to the next peer; giving it up without an
+	 * acknowledgement would lose it if no copy is held.
 	 */
 	@Test
-	void aRequestIsKeptUntilTheReceiverSaysThatItTookIt() {
+	void requestIsKeptUntilHandoverIsAcknowledged() {
 		Entry owner = accepted(CallKind.MODEL);
 		String holder = holders().getFirst();
 		this.lost = (sent) -> sent.message instanceof PeerMessage.HandOver && sent.to.startsWith(holder);
@@ -245,11 +246,12 @@
 	}
 
 	/*
-	 * The receiver's answer is lost: the owner asks another one under a higher number.
-	 * When both have taken the request, the lower number gives way.
+	 * Guards against two owners: the receiver's acknowledgement is lost, and the owner
+	 * hands the request over to another peer under a higher number. The receiver with the
+	 * lower number gives up the request.
 	 */
 	@Test
-	void ofTwoReceiversOneRemains() {
+	void onlyOneOfTwoReceiversRemainsOwner() {
 		Entry owner = accepted(CallKind.MODEL);
 		boolean[] first = { true };
 		this.lost = (sent) -> {
@@ -263,11 +265,11 @@
 	}
 
 	/*
-	 * The peer that the request goes to is stopping as well. It refuses, and the next one
-	 * takes it; nothing in flight is cut.
+	 * The receiver is stopping as well and refuses the handover; the next peer accepts
+	 * it. No running request is interrupted.
 	 */
 	@Test
-	void aReceiverThatStopsRefusesAndTheNextTakesIt() {
+	void stoppingReceiverRefusesAndNextPeerAccepts() {
 		Entry owner = accepted(CallKind.MODEL);
 		String holder = holders().getFirst();
 		entry(holder).handover.beginStop();
@@ -282,23 +284,23 @@
 	}
 
 	/*
-	 * The owner dies without notice, and its holder gets a reclaim notice before the
-	 * death is certain. The holder takes the request over on suspicion and hands it on;
-	 * waiting for certainty lost the only copy.
+	 * Guards against losing the only copy: the owner fails without notice, and its holder
+	 * receives a reclaim notice before the failure is confirmed. The holder takes the
+	 * request over on suspicion and hands it over.
 	 */
 	@Test
-	void aLeavingHolderHandsOnWhatItsSuspectedOwnerLeft() {
+	void leavingHolderHandsOverRequestsOfSuspectedOwner() {
 		Entry owner = accepted(CallKind.MODEL);
 		Entry holder = entry(holders().getFirst());
 		this.entries.remove(owner.self.address());
-		this.entries.values().forEach((entry) -> entry.know(owner.self.withStatus(PeerStatus.SUSPECTED)));
+		this.entries.values().forEach((entry) -> entry.putPeer(owner.self.withStatus(PeerStatus.SUSPECTED)));
 		holder.handover.handOverAll(false);
 		pass(Duration.ofSeconds(2));
 		assertThat(owners()).singleElement().isNotEqualTo(holder.name());
 	}
 
 	@Test
-	void whenTheWholeDataCenterLeavesRequestsGoToAnotherOne() {
+	void requestsMoveToAnotherDataCenterIfTheirsLeaves() {
 		Entry owner = accepted(CallKind.MODEL);
 		owner.handover.handOverAll(true);
 		deliver();
@@ -306,7 +308,7 @@
 	}
 
 	@Test
-	void aStopWaitsForWhatIsInFlight() {
+	void stopWaitsForRunningRequests() {
 		Entry owner = accepted(CallKind.MODEL);
 		owner.handover.beginStop();
 		pass(Duration.ofSeconds(3));
@@ -319,28 +321,29 @@
 	}
 
 	/*
-	 * A caller comes to an entry that does not know its request and gets the ended answer
-	 * from the holder; another account's caller that names the request gets nothing.
+	 * Guards against disclosing an answer to another account: a caller reconnects to an
+	 * entry that does not know its request and receives the ended answer from the holder;
+	 * a caller of another account with the same request identifier receives nothing.
 	 */
 	@Test
-	void anEndedAnswerIsReadFromTheHolderByItsOwnAccountOnly() {
+	void endedAnswerIsReadFromHolderByItsAccountOnly() {
 		Entry owner = accepted(CallKind.MODEL);
 		String holder = holders().getFirst();
 		owner.stream(0, 4);
 		owner.answer.end(1, 4, new EndOfAnswer.Complete("stop"));
 		owner.handover.ended(REQUEST, 4, new EndOfAnswer.Complete("stop"));
 		deliver();
-		Entry asker = entry("a2");
-		fetch(asker, holder, ACCOUNT);
-		fetch(asker, holder, new AccountName("kowhai"));
-		assertThat(asker.fetched).extracting(PeerMessage.AnswerPieces::found).containsExactly(true, false);
-		assertThat(asker.fetched.getFirst().pieces()).hasSize(1);
-		assertThat(asker.fetched.getFirst().end()).isEqualTo(new EndOfAnswer.Complete("stop"));
-		assertThat(asker.fetched.getLast().pieces()).isEmpty();
+		Entry reader = entry("a2");
+		fetch(reader, holder, ACCOUNT);
+		fetch(reader, holder, new AccountName("kowhai"));
+		assertThat(reader.fetched).extracting(PeerMessage.AnswerPieces::found).containsExactly(true, false);
+		assertThat(reader.fetched.getFirst().pieces()).hasSize(1);
+		assertThat(reader.fetched.getFirst().end()).isEqualTo(new EndOfAnswer.Complete("stop"));
+		assertThat(reader.fetched.getLast().pieces()).isEmpty();
 	}
 
-	private void fetch(Entry asker, String holder, AccountName account) {
-		entry(holder).handover.receive(new PeerMessage.FetchAnswer(asker.self.incarnation(), REQUEST, account, 0));
+	private void fetch(Entry reader, String holder, AccountName account) {
+		entry(holder).handover.receive(new PeerMessage.FetchAnswer(reader.self.incarnation(), REQUEST, account, 0));
 		deliver();
 	}
 
@@ -352,14 +355,14 @@
 		return owner;
 	}
 
-	private Progress taken(Entry entry) {
+	private Progress progressOf(Entry entry) {
 		return Objects.requireNonNull(entry.takenOver.get(REQUEST));
 	}
 
 	private void kill(Entry dead) {
 		this.entries.remove(dead.self.address());
 		this.entries.values().forEach((entry) -> {
-			entry.know(dead.self.withStatus(PeerStatus.DEAD));
+			entry.putPeer(dead.self.withStatus(PeerStatus.DEAD));
 			entry.handover.died(dead.self);
 		});
 	}
@@ -373,11 +376,11 @@
 		}
 	}
 
-	private void meet(Entry entry, String name) {
-		Entry met = entry(name);
-		met.know(entry.self);
-		entry.know(met.self);
-		entry.handover.joined(met.self);
+	private void join(Entry entry, String name) {
+		Entry peer = entry(name);
+		peer.putPeer(entry.self);
+		entry.putPeer(peer.self);
+		entry.handover.joined(peer.self);
 	}
 
 	private void deliver() {
@@ -443,7 +446,7 @@
 			return this.self.incarnation().vm().value();
 		}
 
-		void know(PeerState peer) {
+		void putPeer(PeerState peer) {
 			MembershipFixture.put(this.peers, peer);
 		}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerSimulation.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/ledger/LedgerSimulation.java
@@ -411,8 +411,8 @@
 
 		@Override
 		public void answer(RequestId request, ClaimAnswer answer) {
-			Submitted answered = submitted(request);
-			LedgerSimulation.this.oracle.answered(this.self, answered.request(), answered.at(),
+			Submitted submission = submitted(request);
+			LedgerSimulation.this.oracle.answered(this.self, submission.request(), submission.at(),
 					LedgerSimulation.this.now, answer);
 		}
 
