--- a/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerBuffer.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerBuffer.java
@@ -11,16 +11,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The answer of one request: puts pieces in order, drops what is late or repeated, and
- * keeps the whole for callers that reconnect. Used by the entry's tick thread only.
+ * The answer of a request. Reorders pieces, drops stale and duplicate pieces, and keeps
+ * the complete answer for callers that reconnect. Confined to the entry's tick thread.
  */
 public final class AnswerBuffer {
 
-	private final int maximumWaiting;
+	private final int maximumBufferedPieces;
 
 	private final List<Piece> pieces = new ArrayList<>();
 
-	private final TreeMap<Long, Piece> waiting = new TreeMap<>();
+	private final TreeMap<Long, Piece> outOfOrder = new TreeMap<>();
 
 	private int attempt;
 
@@ -32,31 +32,31 @@
 
 	/**
 	 * Creates an empty answer.
-	 * @param maximumWaiting the most pieces kept while pieces before them are missing
+	 * @param maximumBufferedPieces the maximum number of out-of-order pieces to buffer
 	 */
-	public AnswerBuffer(int maximumWaiting) {
-		if (maximumWaiting < 0) {
-			throw new IllegalArgumentException("maximumWaiting must not be negative: " + maximumWaiting);
+	public AnswerBuffer(int maximumBufferedPieces) {
+		if (maximumBufferedPieces < 0) {
+			throw new IllegalArgumentException("maximumBufferedPieces must not be negative: " + maximumBufferedPieces);
 		}
-		this.maximumWaiting = maximumWaiting;
+		this.maximumBufferedPieces = maximumBufferedPieces;
 	}
 
 	/**
-	 * Begins another attempt; whatever earlier ones still send is stale from now on.
-	 * @param newAttempt the attempt's number, above all earlier ones
-	 * @throws org.banyancove.core.InvariantViolationException if the number does not rise
+	 * Begins another attempt. Pieces of earlier attempts are stale from then on.
+	 * @param newAttempt the number of the attempt, higher than all earlier ones
+	 * @throws org.banyancove.core.InvariantViolationException if the number is not higher
 	 */
 	public void beginAttempt(int newAttempt) {
 		Invariant.check(newAttempt > this.attempt, "attempt %s must be above %s", newAttempt, this.attempt);
 		this.attempt = newAttempt;
-		this.waiting.clear();
+		this.outOfOrder.clear();
 		this.pendingEnd = null;
 	}
 
 	/**
-	 * Takes a piece of the answer.
-	 * @param piece the piece, in any order and any number of times
-	 * @return what became of it
+	 * Accepts a piece of the answer. Pieces may be reordered and duplicated.
+	 * @param piece the piece
+	 * @return the result
 	 */
 	public PieceResult accept(Piece piece) {
 		if (this.end != null || piece.attempt() != this.attempt) {
@@ -70,28 +70,27 @@
 			return new PieceResult.Duplicate();
 		}
 		if (piece.fromOffset() > expected) {
-			keepWaiting(piece);
+			buffer(piece);
 			return new PieceResult.Gap(expected);
 		}
-		Piece rest = withoutKnownPart(piece, expected);
-		if (rest == null) {
+		Piece remainder = removeKnownPart(piece, expected);
+		if (remainder == null) {
 			return new PieceResult.Gap(expected);
 		}
-		int firstNew = this.pieces.size();
-		append(rest);
-		appendWaiting();
-		takePendingEnd();
-		return new PieceResult.Accepted(this.pieces.subList(firstNew, this.pieces.size()));
+		int firstNewIndex = this.pieces.size();
+		append(remainder);
+		appendBuffered();
+		applyPendingEnd();
+		return new PieceResult.Accepted(this.pieces.subList(firstNewIndex, this.pieces.size()));
 	}
 
 	/**
-	 * Takes pieces that an owner of the request has put in order already, from whatever
-	 * attempts they came and at whatever bounds it cut them. Later attempts of this
-	 * process go on after them.
+	 * Appends ordered pieces from an owner of the request, regardless of their attempts
+	 * and boundaries. Later attempts of this process continue after them.
 	 * @param copiedAttempt the owner's attempt
-	 * @param copied the pieces, in order and without gap
-	 * @return whether all are there now; {@code false} if pieces before them are missing
-	 * or the texts differ
+	 * @param copied the pieces, in order and without gaps
+	 * @return {@code true} if the answer includes all pieces; {@code false} if preceding
+	 * pieces are missing or the texts differ
 	 */
 	public boolean takeCopy(int copiedAttempt, List<Piece> copied) {
 		if (this.end != null) {
@@ -104,25 +103,25 @@
 			if (piece.toOffset() <= nextOffset()) {
 				continue;
 			}
-			Piece rest = piece;
+			Piece remainder = piece;
 			if (piece.fromOffset() != nextOffset()) {
-				rest = withoutKnownText(copied.getFirst().fromOffset(), copiedText.toString(), piece);
+				remainder = removeKnownText(copied.getFirst().fromOffset(), copiedText.toString(), piece);
 			}
-			if (rest == null) {
+			if (remainder == null) {
 				return false;
 			}
-			append(rest);
+			append(remainder);
 		}
-		takePendingEnd();
+		applyPendingEnd();
 		return true;
 	}
 
 	/**
-	 * Ends the answer as an attempt says it.
+	 * Handles the end of the answer reported by an attempt.
 	 * @param endingAttempt the attempt that ended
 	 * @param totalOffset the offset after the answer's last token
-	 * @param how how the answer ended
-	 * @return what became of the end
+	 * @param how the end of the answer
+	 * @return the result
 	 */
 	public EndResult end(int endingAttempt, long totalOffset, EndOfAnswer how) {
 		if (this.end != null || endingAttempt != this.attempt) {
@@ -136,27 +135,27 @@
 			return EndResult.SHORT;
 		}
 		this.pendingEnd = new PendingEnd(totalOffset, how);
-		this.waiting.values().removeIf((piece) -> piece.toOffset() > totalOffset);
-		takePendingEnd();
+		this.outOfOrder.values().removeIf((piece) -> piece.toOffset() > totalOffset);
+		applyPendingEnd();
 		return (this.end != null) ? EndResult.ENDED : EndResult.WAITING;
 	}
 
 	/**
-	 * Gives the answer up: ends it with an error at once, whatever attempt runs.
+	 * Ends the answer with an error immediately, regardless of the current attempt.
 	 * @param kind the kind of error
-	 * @param retryAfter the time after which the caller should come back
-	 * @return whether the answer had not ended before
+	 * @param retryAfter the retry delay
+	 * @return {@code true} if the answer had not ended before
 	 */
 	public boolean giveUp(ErrorKind kind, Duration retryAfter) {
 		return end(this.attempt, nextOffset(), new EndOfAnswer.Failed(kind, retryAfter)) == EndResult.ENDED;
 	}
 
 	/**
-	 * Returns the pieces from an offset on, for a caller that reconnects. The caller may
-	 * have got its pieces from a process that cut the answer at other bounds: if none
-	 * lies at the offset, the whole answer is returned, whose first offset is then 0.
-	 * @param offset the offset after the last token that the caller has
-	 * @return the pieces, in order and without gap
+	 * Returns the pieces from an offset, for a caller that reconnects. The caller may
+	 * have received pieces with different boundaries from another process: if no piece
+	 * begins at the offset, the complete answer is returned, beginning at offset 0.
+	 * @param offset the offset after the last token that the caller has received
+	 * @return the pieces, in order and without gaps
 	 */
 	public List<Piece> readFrom(long offset) {
 		if (offset >= nextOffset()) {
@@ -178,7 +177,7 @@
 	}
 
 	/**
-	 * Returns the whole text so far.
+	 * Returns the text received so far.
 	 * @return the text
 	 */
 	public String text() {
@@ -188,7 +187,7 @@
 	}
 
 	/**
-	 * Returns the offset of the next token that is missing.
+	 * Returns the offset of the next expected token.
 	 * @return the offset, from 0
 	 */
 	public long nextOffset() {
@@ -199,7 +198,7 @@
 	}
 
 	/**
-	 * Returns the number of the attempt whose pieces are taken.
+	 * Returns the number of the current attempt, whose pieces are accepted.
 	 * @return the attempt
 	 */
 	public int attempt() {
@@ -207,87 +206,87 @@
 	}
 
 	/**
-	 * Returns the number of characters kept.
-	 * @return the characters
+	 * Returns the size of the answer.
+	 * @return the number of characters
 	 */
 	public long characters() {
 		return this.characters;
 	}
 
 	/**
-	 * Returns whether pieces beyond a missing one, or the end, were seen.
-	 * @return whether there is a gap
+	 * Returns whether pieces or the end were received after a missing piece.
+	 * @return {@code true} if there is a gap
 	 */
 	public boolean hasGap() {
-		return !this.waiting.isEmpty() || this.pendingEnd != null;
+		return !this.outOfOrder.isEmpty() || this.pendingEnd != null;
 	}
 
 	/**
-	 * Returns how the answer ended.
-	 * @return the end, or {@code null} while it runs
+	 * Returns the end of the answer.
+	 * @return the end, or {@code null} while the answer is incomplete
 	 */
 	public @Nullable EndOfAnswer end() {
 		return this.end;
 	}
 
-	private void keepWaiting(Piece piece) {
-		if (this.waiting.size() < this.maximumWaiting) {
-			this.waiting.putIfAbsent(piece.fromOffset(), piece);
+	private void buffer(Piece piece) {
+		if (this.outOfOrder.size() < this.maximumBufferedPieces) {
+			this.outOfOrder.putIfAbsent(piece.fromOffset(), piece);
 		}
 	}
 
-	private @Nullable Piece withoutKnownPart(Piece piece, long expected) {
+	private @Nullable Piece removeKnownPart(Piece piece, long expected) {
 		if (piece.fromOffset() == expected) {
 			return piece;
 		}
-		return withoutKnownText(piece.fromOffset(), piece.text(), piece);
+		return removeKnownText(piece.fromOffset(), piece.text(), piece);
 	}
 
-	// Another process or attempt may cut the answer at other bounds. Tokens that are
-	// there already can be cut off only by comparing the text from a bound that both
-	// have, since a guessed cut would garble the answer. Without such a bound the rest
-	// is asked for again from the exact offset.
-	private @Nullable Piece withoutKnownText(long bound, String textFromBound, Piece last) {
+	// Another process or attempt may use different piece boundaries. Known tokens can
+	// only be removed by comparing the text from a common boundary, since a split at a
+	// guessed position would corrupt the answer. Without a common boundary the remainder
+	// is requested again from the exact offset.
+	private @Nullable Piece removeKnownText(long boundary, String textFromBoundary, Piece last) {
 		long expected = nextOffset();
-		List<Piece> known = readFrom(bound);
-		if (known.isEmpty() || known.getFirst().fromOffset() != bound) {
+		List<Piece> known = readFrom(boundary);
+		if (known.isEmpty() || known.getFirst().fromOffset() != boundary) {
 			return null;
 		}
 		StringBuilder knownText = new StringBuilder();
 		known.forEach((each) -> knownText.append(each.text()));
-		if (!textFromBound.startsWith(knownText.toString())) {
+		if (!textFromBoundary.startsWith(knownText.toString())) {
 			return null;
 		}
-		return new Piece(last.attempt(), expected, last.toOffset(), textFromBound.substring(knownText.length()));
+		return new Piece(last.attempt(), expected, last.toOffset(), textFromBoundary.substring(knownText.length()));
 	}
 
-	private void appendWaiting() {
-		while (!this.waiting.isEmpty()) {
-			Map.Entry<Long, Piece> first = this.waiting.firstEntry();
+	private void appendBuffered() {
+		while (!this.outOfOrder.isEmpty()) {
+			Map.Entry<Long, Piece> first = this.outOfOrder.firstEntry();
 			if (first.getKey() > nextOffset()) {
 				return;
 			}
-			this.waiting.pollFirstEntry();
+			this.outOfOrder.pollFirstEntry();
 			Piece piece = first.getValue();
-			Piece rest = (piece.toOffset() <= nextOffset()) ? null : withoutKnownPart(piece, nextOffset());
-			if (rest != null) {
-				append(rest);
+			Piece remainder = (piece.toOffset() <= nextOffset()) ? null : removeKnownPart(piece, nextOffset());
+			if (remainder != null) {
+				append(remainder);
 			}
 		}
 	}
 
 	private void append(Piece piece) {
-		Invariant.check(piece.fromOffset() == nextOffset(), "piece at %s delivered where %s is next",
+		Invariant.check(piece.fromOffset() == nextOffset(), "piece at offset %s delivered, expected offset %s",
 				piece.fromOffset(), nextOffset());
-		Invariant.check(this.end == null, "piece at %s delivered after the end", piece.fromOffset());
+		Invariant.check(this.end == null, "piece at offset %s delivered after the end", piece.fromOffset());
 		this.pieces.add(piece);
 		this.characters += piece.text().length();
 	}
 
-	private void takePendingEnd() {
+	private void applyPendingEnd() {
 		PendingEnd pending = this.pendingEnd;
 		if (pending != null && pending.totalOffset == nextOffset()) {
-			Invariant.check(this.waiting.isEmpty(), "answer of %s tokens ends with pieces beyond it",
+			Invariant.check(this.outOfOrder.isEmpty(), "answer of %s tokens ends with pieces beyond it",
 					pending.totalOffset);
 			finish(pending.how);
 		}
@@ -296,7 +295,7 @@
 	private void finish(EndOfAnswer how) {
 		this.end = how;
 		this.pendingEnd = null;
-		this.waiting.clear();
+		this.outOfOrder.clear();
 	}
 
 	private record PendingEnd(long totalOffset, EndOfAnswer how) {
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerReader.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerReader.java
@@ -7,18 +7,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What one connection of a caller has got of an answer. Each connection has a reader of
- * its own, since a request may leave the entry and come back to it, or be read from a
- * peer, while the caller stays connected: pieces then overlap, or begin after a part that
- * the caller has not got.
+ * The read position of a caller's connection in an answer. Each connection has its own
+ * reader, since a request may move to another entry and back, or be read from a peer,
+ * while the caller stays connected. Pieces may then overlap, or begin after a part that
+ * the caller has not received.
  * <p>
- * Used by the entry's tick thread only.
+ * Confined to the entry's tick thread.
  */
 public final class AnswerReader {
 
 	private static final long HASH_FACTOR = 1_000_003;
 
-	private boolean fresh = true;
+	private boolean nothingDelivered = true;
 
 	private long startOffset;
 
@@ -30,7 +30,8 @@
 
 	/**
 	 * Creates a reader.
-	 * @param offset the offset after the last token that the caller has, 0 for a new one
+	 * @param offset the offset after the last token that the caller has received, 0 for a
+	 * new caller
 	 */
 	public AnswerReader(long offset) {
 		if (offset < 0) {
@@ -41,16 +42,16 @@
 	}
 
 	/**
-	 * Returns the offset to read the answer from.
-	 * @return the offset after the last token that the caller has
+	 * Returns the offset from which to read the answer.
+	 * @return the offset after the last token that the caller has received
 	 */
 	public long offset() {
 		return this.offset;
 	}
 
 	/**
-	 * Returns the offset of the first token that went over this connection. Pieces from
-	 * there on can be joined, wherever they are cut.
+	 * Returns the offset of the first token sent over this connection. Pieces from this
+	 * offset can be joined regardless of their boundaries.
 	 * @return the offset of the first token
 	 */
 	public long startOffset() {
@@ -58,13 +59,14 @@
 	}
 
 	/**
-	 * Takes pieces and returns those that the connection gets next. The first pieces of a
-	 * connection may start over at offset 0, if the answer has no bound at the caller's
-	 * offset; the caller then drops what it has.
-	 * @param pieces pieces in order and without gap, as {@link AnswerBuffer#readFrom}
-	 * gives them or a peer sends them
-	 * @return the pieces to deliver, or {@code null} if they cannot be joined to what the
-	 * connection has; it is then closed, and the caller comes back with its last offset
+	 * Accepts pieces and returns those to deliver next over the connection. The first
+	 * pieces of a connection may restart at offset 0 if the answer has no boundary at the
+	 * caller's offset; the caller then discards the tokens that it has received.
+	 * @param pieces the pieces, in order and without gaps, as returned by
+	 * {@link AnswerBuffer#readFrom} or sent by a peer
+	 * @return the pieces to deliver, or {@code null} if they cannot be joined to the
+	 * delivered ones; the connection must then be closed, and the caller reconnects with
+	 * its last offset
 	 */
 	public @Nullable List<Piece> take(List<Piece> pieces) {
 		if (pieces.isEmpty() || pieces.getLast().toOffset() <= this.offset) {
@@ -74,7 +76,7 @@
 		if (first > this.offset) {
 			return List.of();
 		}
-		if (this.fresh && first == 0) {
+		if (this.nothingDelivered && first == 0) {
 			this.startOffset = 0;
 			this.offset = 0;
 		}
@@ -108,9 +110,9 @@
 	}
 
 	private void advance(Piece piece) {
-		Invariant.check(piece.fromOffset() == this.offset, "caller at %s gets piece at %s", this.offset,
-				piece.fromOffset());
-		this.fresh = false;
+		Invariant.check(piece.fromOffset() == this.offset, "caller at offset %s receives piece at offset %s",
+				this.offset, piece.fromOffset());
+		this.nothingDelivered = false;
 		this.offset = piece.toOffset();
 		this.characters += piece.text().length();
 		this.hash = hash(this.hash, piece.text(), piece.text().length());
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/EndOfAnswer.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/EndOfAnswer.java
@@ -5,24 +5,24 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * How an answer ended.
+ * The end of an answer.
  */
 public sealed interface EndOfAnswer {
 
 	/**
-	 * The answer is whole.
+	 * The answer is complete.
 	 *
-	 * @param finishReason the reason that the engine gave
+	 * @param finishReason the finish reason reported by the engine
 	 */
 	record Complete(String finishReason) implements EndOfAnswer {
 
 	}
 
 	/**
-	 * The answer was given up on and ended with an error.
+	 * The answer was given up and ended with an error.
 	 *
 	 * @param kind the kind of error
-	 * @param retryAfter the time after which the caller should come back
+	 * @param retryAfter the retry delay
 	 */
 	record Failed(ErrorKind kind, Duration retryAfter) implements EndOfAnswer {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/EndResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/EndResult.java
@@ -1,20 +1,23 @@
 package org.banyancove.core.answer;
 
 /**
- * What became of an end that an endpoint or the owner gave to an answer.
+ * The result of ending an answer.
  */
 public enum EndResult {
 
-	/** The answer has ended; nothing follows. */
+	/** The answer has ended. */
 	ENDED,
 
-	/** Pieces before the end are still missing. */
+	/** Pieces before the end are missing. */
 	WAITING,
 
-	/** The end names fewer tokens than there are; taking it would be wrong. */
+	/**
+	 * The end is before the last received token and is not accepted, since the answer
+	 * would be truncated.
+	 */
 	SHORT,
 
-	/** The end belongs to an attempt that was replaced, or the answer has ended. */
+	/** The end belongs to a replaced attempt, or the answer has already ended. */
 	STALE
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/Piece.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/Piece.java
@@ -1,9 +1,9 @@
 package org.banyancove.core.answer;
 
 /**
- * A piece of an answer, as an endpoint streamed it.
+ * A piece of an answer, as streamed by an endpoint.
  *
- * @param attempt the number of the attempt that the piece belongs to
+ * @param attempt the number of the attempt
  * @param fromOffset the offset of its first token
  * @param toOffset the offset after its last token
  * @param text the text of its tokens
@@ -12,7 +12,8 @@
 
 	/**
 	 * Creates the piece.
-	 * @throws IllegalArgumentException if the piece has no token or a negative number
+	 * @throws IllegalArgumentException if the piece has no token, or if the attempt or an
+	 * offset is negative
 	 */
 	public Piece {
 		if (attempt < 0) {
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/PieceResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/PieceResult.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What became of a piece.
+ * The result of accepting a piece.
  */
 public sealed interface PieceResult {
 
 	/**
-	 * The piece continued the answer.
+	 * The piece continues the answer.
 	 *
-	 * @param pieces the pieces that can be delivered now, in order and without gap
+	 * @param pieces the pieces that can be delivered, in order and without gaps
 	 */
 	record Accepted(List<Piece> pieces) implements PieceResult {
 
@@ -21,24 +21,24 @@
 	}
 
 	/**
-	 * The piece brought no token that was not delivered or kept already.
+	 * The piece contains no new token.
 	 */
 	record Duplicate() implements PieceResult {
 
 	}
 
 	/**
-	 * The piece lies beyond the end of what is there. It is kept, within bounds, until
-	 * the missing pieces come.
+	 * Preceding tokens are missing, or a piece that overlaps the received tokens cannot
+	 * be split. A piece after the missing tokens is buffered within bounds.
 	 *
-	 * @param expectedOffset the offset of the first token that is missing
+	 * @param expectedOffset the offset of the first missing token
 	 */
 	record Gap(long expectedOffset) implements PieceResult {
 
 	}
 
 	/**
-	 * The piece belongs to an attempt that was replaced, or the answer has ended.
+	 * The piece belongs to a replaced attempt, or the answer has ended.
 	 */
 	record Stale() implements PieceResult {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The answer of one request, put together in order from the pieces of its attempts.
+ * Reassembly of a request's answer from the pieces of its attempts.
  */
 @NullMarked
 package org.banyancove.core.answer;
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/LeavingEndpoints.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/LeavingEndpoints.java
@@ -9,11 +9,11 @@
 import org.banyancove.core.EndpointId;
 
 /**
- * The endpoints that are about to be reclaimed, and when.
+ * The endpoints with a reclaim notice and their reclaim times.
  */
 final class LeavingEndpoints {
 
-	private static final Duration REMEMBERED = Duration.ofMinutes(10);
+	private static final Duration RETENTION = Duration.ofMinutes(10);
 
 	private final StreamSettings settings;
 
@@ -24,10 +24,10 @@
 	}
 
 	/**
-	 * Adds an endpoint; its first notice counts.
+	 * Adds an endpoint. Repeated notices for an endpoint are ignored.
 	 * @param endpoint the endpoint
-	 * @param reclaimAt the time at which the platform takes it
-	 * @return whether it is new
+	 * @param reclaimAt the time at which the platform reclaims it
+	 * @return {@code true} if the endpoint is new
 	 */
 	boolean add(EndpointId endpoint, Instant reclaimAt) {
 		return this.reclaimTimes.putIfAbsent(endpoint, reclaimAt) == null;
@@ -41,32 +41,32 @@
 		return this.reclaimTimes.keySet();
 	}
 
-	// The time at which nothing should depend on an endpoint any more.
+	// The time by which no stream may depend on the endpoint.
 	Instant lastUse(Instant reclaimAt) {
 		return reclaimAt.minus(this.settings.leavingMargin());
 	}
 
 	/**
-	 * Returns how long a KV cache may be on its way from an endpoint.
+	 * Returns the time available for moving a KV cache from an endpoint.
 	 * @param source the endpoint
-	 * @param now the time
-	 * @return the time, zero where the endpoint is as good as gone
+	 * @param now the current time
+	 * @return the time, zero if the reclaim is imminent
 	 */
 	Duration cacheMoveTime(EndpointId source, Instant now) {
-		Duration longest = this.settings.cacheMoveTimeout();
+		Duration maximum = this.settings.cacheMoveTimeout();
 		Instant reclaimAt = this.reclaimTimes.get(source);
 		if (reclaimAt == null) {
-			return longest;
+			return maximum;
 		}
-		Duration left = Duration.between(now, lastUse(reclaimAt));
-		if (left.isNegative()) {
+		Duration remaining = Duration.between(now, lastUse(reclaimAt));
+		if (remaining.isNegative()) {
 			return Duration.ZERO;
 		}
-		return (left.compareTo(longest) < 0) ? left : longest;
+		return (remaining.compareTo(maximum) < 0) ? remaining : maximum;
 	}
 
-	void forgetOld(Instant now) {
-		this.reclaimTimes.values().removeIf((reclaimAt) -> reclaimAt.plus(REMEMBERED).isBefore(now));
+	void removeExpired(Instant now) {
+		this.reclaimTimes.values().removeIf((reclaimAt) -> reclaimAt.plus(RETENTION).isBefore(now));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamCommand.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamCommand.java
@@ -10,19 +10,19 @@
 import org.banyancove.core.answer.Piece;
 
 /**
- * What {@link StreamSystem} asks of the entry around it.
+ * The commands of {@link StreamSystem} to the enclosing entry.
  */
 public sealed interface StreamCommand {
 
 	/**
-	 * Returns the request that the command is about.
+	 * Returns the request to which the command applies.
 	 * @return the request
 	 */
 	RequestId request();
 
 	/**
-	 * Asks for an endpoint; {@link StreamSystem#placed} or {@link StreamSystem#notPlaced}
-	 * follows.
+	 * Requests an endpoint. {@link StreamSystem#placed} or {@link StreamSystem#notPlaced}
+	 * must be called with the result.
 	 *
 	 * @param request the request
 	 * @param excluded endpoints that failed it or are leaving
@@ -36,10 +36,10 @@
 	}
 
 	/**
-	 * Starts the stream from nothing.
+	 * Starts the stream from the beginning.
 	 *
 	 * @param request the request
-	 * @param attempt the attempt that its pieces carry
+	 * @param attempt the attempt of its pieces
 	 * @param endpoint the endpoint
 	 */
 	record Start(RequestId request, int attempt, EndpointId endpoint) implements StreamCommand {
@@ -47,22 +47,22 @@
 	}
 
 	/**
-	 * Asks the endpoint that runs the stream for its pieces again, over a new connection.
+	 * Reattaches to the stream at its endpoint over a new connection.
 	 *
 	 * @param request the request
-	 * @param attempt the attempt that its pieces carry
+	 * @param attempt the attempt of its pieces
 	 * @param endpoint the endpoint
-	 * @param fromOffset the offset of the first token wanted
+	 * @param fromOffset the offset of the first requested token
 	 */
 	record Reattach(RequestId request, int attempt, EndpointId endpoint, long fromOffset) implements StreamCommand {
 
 	}
 
 	/**
-	 * Goes on with the stream at another endpoint.
+	 * Continues the stream at another endpoint.
 	 *
 	 * @param request the request
-	 * @param attempt the attempt that its pieces carry
+	 * @param attempt the attempt of its pieces
 	 * @param endpoint the endpoint
 	 * @param fromOffset the offset of the next token
 	 * @param text the text of the tokens so far
@@ -73,10 +73,11 @@
 	}
 
 	/**
-	 * Copies the stream's KV cache; {@link StreamSystem#cacheMoved} follows.
+	 * Copies the stream's KV cache to another endpoint. {@link StreamSystem#cacheMoved}
+	 * must be called with the result.
 	 *
 	 * @param request the request
-	 * @param source the endpoint that has it
+	 * @param source the endpoint that exports it
 	 * @param target the endpoint that imports it
 	 */
 	record MoveCache(RequestId request, EndpointId source, EndpointId target) implements StreamCommand {
@@ -84,21 +85,20 @@
 	}
 
 	/**
-	 * Closes the connection of an attempt that was replaced. Its pieces are stale
-	 * already.
+	 * Closes the connection of a replaced attempt, whose pieces are already stale.
 	 *
 	 * @param request the request
 	 * @param attempt the attempt
 	 * @param endpoint the endpoint
-	 * @param cancel whether the endpoint should stop the stream too
+	 * @param cancel whether the endpoint must also cancel the stream
 	 */
 	record Close(RequestId request, int attempt, EndpointId endpoint, boolean cancel) implements StreamCommand {
 
 	}
 
 	/**
-	 * Tells that pieces can be delivered. Each connection of a caller takes what it lacks
-	 * through its {@link AnswerReader}.
+	 * Delivers pieces to the caller's connections. Each connection filters the pieces by
+	 * its {@link AnswerReader}.
 	 *
 	 * @param request the request
 	 * @param pieces the pieces, in order and without gap
@@ -112,11 +112,11 @@
 	}
 
 	/**
-	 * Ends the answer; nothing is delivered after it.
+	 * Ends the answer. No piece is delivered afterwards.
 	 *
 	 * @param request the request
 	 * @param totalOffset the offset after the last token
-	 * @param end how it ended
+	 * @param end the end of the answer
 	 */
 	record End(RequestId request, long totalOffset, EndOfAnswer end) implements StreamCommand {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamCounters.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamCounters.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Counts of streams that moved and of the tokens that were computed again for it, by way.
- * Read and written on the tick thread.
+ * Counters of stream moves and recomputed tokens by kind of move. Confined to the tick
+ * thread.
  */
 public final class StreamCounters {
 
@@ -21,35 +21,36 @@
 	}
 
 	/**
-	 * Returns the times that streams went on in a way.
-	 * @param move the way
-	 * @return the times
+	 * Returns the number of moves of a kind.
+	 * @param move the kind of move
+	 * @return the number of moves
 	 */
 	public long moves(StreamMove move) {
 		return this.moves.getOrDefault(move, 0L);
 	}
 
 	/**
-	 * Returns the tokens of prompts and answers that were computed again in a way.
-	 * @param move the way
-	 * @return the tokens
+	 * Returns the number of prompt and answer tokens recomputed by moves of a kind.
+	 * @param move the kind of move
+	 * @return the number of tokens
 	 */
 	public long recomputedTokens(StreamMove move) {
 		return this.recomputedTokens.getOrDefault(move, 0L);
 	}
 
 	/**
-	 * Returns the times that another endpoint was asked to continue an answer. This never
-	 * falls, as a metric must not: a continuation that the endpoint refused still counts.
-	 * @return the times
+	 * Returns the number of times that an endpoint was requested to continue an answer.
+	 * Continuations refused by the endpoint are included, since a counter metric must not
+	 * decrease.
+	 * @return the number of continuations
 	 */
 	public long continued() {
 		return this.continued;
 	}
 
 	/**
-	 * Returns the answers that were given up on.
-	 * @return the answers
+	 * Returns the number of answers that were given up.
+	 * @return the number of answers
 	 */
 	public long givenUp() {
 		return this.givenUp;
@@ -64,7 +65,7 @@
 		this.recomputedTokens.merge(move, tokens, Long::sum);
 	}
 
-	void takeBack(StreamMove move, long tokens) {
+	void revertMove(StreamMove move, long tokens) {
 		this.moves.merge(move, -1L, Long::sum);
 		this.recomputedTokens.merge(move, -tokens, Long::sum);
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamEntity.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamEntity.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request's stream. Used by the entry's tick thread only.
+ * The stream of a request. Confined to the entry's tick thread.
  */
 public final class StreamEntity {
 
@@ -27,13 +27,13 @@
 
 	boolean reattached;
 
-	boolean refusedResume;
+	boolean resumeUnsupported;
 
-	int fruitlessAttempts;
+	int attemptsWithoutProgress;
 
 	long resumedTokens;
 
-	Instant lastHeard;
+	Instant lastPieceAt;
 
 	Instant timerAt = Instant.MAX;
 
@@ -43,18 +43,18 @@
 
 	private final long expectedTokens;
 
-	private Duration usualGap = Duration.ZERO;
+	private Duration meanTokenInterval = Duration.ZERO;
 
-	private boolean heardSinceAttempt;
+	private boolean pieceReceivedInAttempt;
 
 	private Instant due = Instant.MAX;
 
-	StreamEntity(HeldRequest held, long promptTokens, long expectedTokens, int maximumWaiting, Instant now) {
+	StreamEntity(HeldRequest held, long promptTokens, long expectedTokens, int maximumBufferedPieces, Instant now) {
 		this.held = held;
 		this.promptTokens = promptTokens;
 		this.expectedTokens = expectedTokens;
-		this.answer = new AnswerBuffer(maximumWaiting);
-		this.lastHeard = now;
+		this.answer = new AnswerBuffer(maximumBufferedPieces);
+		this.lastPieceAt = now;
 	}
 
 	/**
@@ -75,7 +75,7 @@
 
 	/**
 	 * Returns the endpoint that runs the stream.
-	 * @return the endpoint, or {@code null} if none does
+	 * @return the endpoint, or {@code null} if there is none
 	 */
 	public @Nullable EndpointId endpoint() {
 		return this.endpoint;
@@ -93,46 +93,47 @@
 		this.due = newDue;
 	}
 
-	void attemptBegins(Instant now) {
-		this.lastHeard = now;
-		this.heardSinceAttempt = false;
-		this.fruitlessAttempts++;
+	void attemptStarted(Instant now) {
+		this.lastPieceAt = now;
+		this.pieceReceivedInAttempt = false;
+		this.attemptsWithoutProgress++;
 	}
 
-	void heard(Instant now, long tokens) {
-		if (this.heardSinceAttempt) {
-			Duration gap = Duration.between(this.lastHeard, now).dividedBy(Math.max(1, tokens));
-			// A moving mean over about eight pieces.
-			this.usualGap = this.usualGap.multipliedBy(7).plus(gap).dividedBy(8);
+	void pieceReceived(Instant now, long tokens) {
+		if (this.pieceReceivedInAttempt) {
+			Duration interval = Duration.between(this.lastPieceAt, now).dividedBy(Math.max(1, tokens));
+			// An exponential moving average over about eight pieces.
+			this.meanTokenInterval = this.meanTokenInterval.multipliedBy(7).plus(interval).dividedBy(8);
 		}
-		this.heardSinceAttempt = true;
+		this.pieceReceivedInAttempt = true;
 		this.reattached = false;
-		this.lastHeard = now;
+		this.lastPieceAt = now;
 	}
 
 	/**
-	 * Returns how long the stream may be without a piece before it counts as quiet.
-	 * @param settings the bounds
+	 * Returns the time without a piece after which the stream is considered stalled.
+	 * @param settings the settings
 	 * @return the time
 	 */
-	Duration expectedGap(StreamSettings settings) {
-		if (!this.heardSinceAttempt) {
-			return settings.firstPieceGap();
+	Duration stallTimeout(StreamSettings settings) {
+		if (!this.pieceReceivedInAttempt) {
+			return settings.firstPieceTimeout();
 		}
-		Duration gap = this.usualGap.multipliedBy(settings.gapFactor());
-		return (gap.compareTo(settings.shortestGap()) > 0) ? gap : settings.shortestGap();
+		Duration interval = this.meanTokenInterval.multipliedBy(settings.stallFactor());
+		return (interval.compareTo(settings.minimumStallTimeout()) > 0) ? interval : settings.minimumStallTimeout();
 	}
 
 	/**
-	 * Returns when the answer will probably end.
-	 * @param now the time
-	 * @return the time, or {@code Instant.MAX} if that can't be said yet
+	 * Returns the estimated end time of the answer.
+	 * @param now the current time
+	 * @return the estimate, or {@code Instant.MAX} if it is unknown
 	 */
-	Instant probableEnd(Instant now) {
-		if (this.usualGap.isZero() || this.expectedTokens <= 0) {
+	Instant estimatedEnd(Instant now) {
+		if (this.meanTokenInterval.isZero() || this.expectedTokens <= 0) {
 			return Instant.MAX;
 		}
-		return now.plus(this.usualGap.multipliedBy(Math.max(0, this.expectedTokens - this.answer.nextOffset())));
+		return now
+			.plus(this.meanTokenInterval.multipliedBy(Math.max(0, this.expectedTokens - this.answer.nextOffset())));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamMove.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamMove.java
@@ -1,21 +1,21 @@
 package org.banyancove.core.stream;
 
 /**
- * The ways in which a stream goes on after its connection or endpoint was lost, the one
- * that recomputes least first.
+ * The ways to continue a stream after the loss of its connection or endpoint, ordered by
+ * the number of recomputed tokens.
  */
 public enum StreamMove {
 
-	/** Over a new connection to the endpoint that runs it. */
+	/** Over a new connection to the endpoint that runs the stream. */
 	REATTACHED,
 
-	/** At another endpoint, which imported the KV cache. */
+	/** At another endpoint that has imported the KV cache. */
 	IMPORTED,
 
 	/** At another endpoint, from the tokens so far. */
 	RESUMED,
 
-	/** At another endpoint, from nothing. */
+	/** At another endpoint, from the beginning. */
 	RESTARTED
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamPort.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamPort.java
@@ -5,20 +5,20 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * The entry around {@link StreamSystem}. Called on the tick thread.
+ * The port of {@link StreamSystem} to the enclosing entry. Called on the tick thread.
  */
 public interface StreamPort {
 
 	/**
-	 * Carries a command out, without waiting.
+	 * Executes a command without blocking.
 	 * @param command the command
 	 */
 	void execute(StreamCommand command);
 
 	/**
-	 * Returns when a caller whose answer was given up on should come back.
+	 * Returns the retry delay for a caller whose answer was given up.
 	 * @param service the service
-	 * @return the time from now
+	 * @return the delay
 	 */
 	Duration retryAfter(ServiceName service);
 
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamSettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamSettings.java
@@ -3,37 +3,40 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of streams.
+ * Settings of streams.
  *
- * @param firstPieceGap the time in which the first piece of an attempt is expected
- * @param shortestGap the shortest time without a piece after which a stream is quiet
- * @param gapFactor the multiple of the usual time between pieces after which it is quiet
- * @param gapPatience the time for which a missing piece is waited for
- * @param cacheMoveTimeout the longest time that moving a KV cache may take
- * @param leavingMargin the time before the reclaim at which a stream must have moved
- * @param maximumAttempts the attempts without a new token after which an answer is given
- * up on
- * @param maximumWaiting the most pieces kept of a stream while some before are missing
- * @param keepEnded the time for which an ended answer is kept
- * @param maximumEndedCharacters the most characters of ended answers that are kept
+ * @param firstPieceTimeout the timeout for the first piece of an attempt
+ * @param minimumStallTimeout the minimum time without a piece after which a stream is
+ * considered stalled
+ * @param stallFactor the multiple of the mean time between tokens after which a stream
+ * without a piece is considered stalled
+ * @param missingPieceTimeout the timeout for a missing piece
+ * @param cacheMoveTimeout the timeout for moving a KV cache
+ * @param leavingMargin how long before the reclaim a stream must have moved
+ * @param maximumAttempts the number of attempts without a new token after which an answer
+ * is given up
+ * @param maximumBufferedPieces the maximum number of out-of-order pieces buffered per
+ * stream
+ * @param keepEnded how long an ended answer is kept
+ * @param maximumEndedCharacters the maximum total size of ended answers in characters
  */
-public record StreamSettings(Duration firstPieceGap, Duration shortestGap, int gapFactor, Duration gapPatience,
-		Duration cacheMoveTimeout, Duration leavingMargin, int maximumAttempts, int maximumWaiting, Duration keepEnded,
-		long maximumEndedCharacters) {
+public record StreamSettings(Duration firstPieceTimeout, Duration minimumStallTimeout, int stallFactor,
+		Duration missingPieceTimeout, Duration cacheMoveTimeout, Duration leavingMargin, int maximumAttempts,
+		int maximumBufferedPieces, Duration keepEnded, long maximumEndedCharacters) {
 
 	/**
 	 * Creates the settings.
 	 * @throws IllegalArgumentException if a bound is not positive
 	 */
 	public StreamSettings {
-		if (gapFactor <= 0 || maximumAttempts <= 0 || maximumWaiting < 0 || maximumEndedCharacters <= 0) {
-			throw new IllegalArgumentException("bounds must be positive: " + gapFactor + ", " + maximumAttempts + ", "
-					+ maximumWaiting + ", " + maximumEndedCharacters);
+		if (stallFactor <= 0 || maximumAttempts <= 0 || maximumBufferedPieces < 0 || maximumEndedCharacters <= 0) {
+			throw new IllegalArgumentException("bounds must be positive: " + stallFactor + ", " + maximumAttempts + ", "
+					+ maximumBufferedPieces + ", " + maximumEndedCharacters);
 		}
 	}
 
 	/**
-	 * Returns the usual settings.
+	 * Returns the default settings.
 	 * @return the settings
 	 */
 	public static StreamSettings defaults() {
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamSystem.java
@@ -18,9 +18,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Brings every stream to its end: resumes the quiet, moves those whose endpoint leaves,
- * and gives up, with an error at once, what cannot be finished. Used by the entry's tick
- * thread only.
+ * Drives every stream to completion: reattaches to stalled streams, moves streams away
+ * from leaving endpoints, and immediately fails streams that cannot be completed.
+ * Confined to the entry's tick thread.
  */
 public final class StreamSystem {
 
@@ -40,10 +40,10 @@
 
 	/**
 	 * Creates the system.
-	 * @param table the table to keep
+	 * @param table the table of streams
 	 * @param clock the clock
-	 * @param settings times and bounds
-	 * @param port the entry around it
+	 * @param settings the settings
+	 * @param port the port to the enclosing entry
 	 */
 	public StreamSystem(StreamTable table, InstantSource clock, StreamSettings settings, StreamPort port) {
 		this.table = table;
@@ -56,27 +56,28 @@
 	/**
 	 * Starts the stream of an accepted request.
 	 * @param held the request
-	 * @param endpoint the endpoint that it was placed on
-	 * @param promptTokens the tokens of its prompt
-	 * @param expectedTokens the tokens that the answer will have at most, or 0
+	 * @param endpoint the endpoint on which it was placed
+	 * @param promptTokens the number of tokens in its prompt
+	 * @param expectedTokens the maximum number of tokens in the answer, or 0 if unknown
 	 */
 	public void start(HeldRequest held, EndpointId endpoint, long promptTokens, long expectedTokens) {
 		StreamEntity stream = add(held, promptTokens, expectedTokens);
 		placed(held.request(), endpoint);
-		Invariant.check(stream.placing || stream.endpoint != null, "request %s has no way to go on", held.request());
+		Invariant.check(stream.placing || stream.endpoint != null,
+				"request %s has neither an endpoint nor a pending placement", held.request());
 	}
 
 	/**
-	 * Goes on with a request that was taken over from another entry.
+	 * Continues a request that was taken over from another entry.
 	 * @param held the request
 	 * @param progress the answer so far, from offset 0
-	 * @param promptTokens the tokens of its prompt
-	 * @param expectedTokens the tokens that the answer will have at most, or 0
+	 * @param promptTokens the number of tokens in its prompt
+	 * @param expectedTokens the maximum number of tokens in the answer, or 0 if unknown
 	 */
 	public void adopt(HeldRequest held, Progress progress, long promptTokens, long expectedTokens) {
 		StreamEntity stream = add(held, promptTokens, expectedTokens);
-		boolean whole = stream.answer.takeCopy(progress.attempt(), progress.pieces());
-		Invariant.check(whole, "progress of %s has a gap", held.request());
+		boolean contiguous = stream.answer.takeCopy(progress.attempt(), progress.pieces());
+		Invariant.check(contiguous, "progress of %s has a gap", held.request());
 		EndpointId endpoint = progress.endpoint();
 		if (!held.deadline().isAfter(this.clock.instant())) {
 			giveUp(stream, ErrorKind.ANSWER_INCOMPLETE);
@@ -91,7 +92,7 @@
 	}
 
 	/**
-	 * Takes the endpoint that was asked for with {@link StreamCommand.Place}.
+	 * Handles the endpoint selected for {@link StreamCommand.Place}.
 	 * @param request the request
 	 * @param endpoint the endpoint
 	 */
@@ -117,7 +118,8 @@
 	}
 
 	/**
-	 * Takes the word that no endpoint can be had: the answer is given up on.
+	 * Handles the lack of an available endpoint. The answer fails unless it is still
+	 * streaming from a leaving endpoint.
 	 * @param request the request
 	 */
 	public void notPlaced(RequestId request) {
@@ -126,20 +128,20 @@
 			return;
 		}
 		if (stream.endpoint != null) {
-			// The leaving endpoint still streams; it may finish, or another be free
-			// later.
+			// The leaving endpoint is still streaming. It may complete the answer, or
+			// another endpoint may become available.
 			stream.placing = false;
-			this.timers.schedule(stream, this.clock.instant().plus(this.settings.shortestGap()));
+			this.timers.schedule(stream, this.clock.instant().plus(this.settings.minimumStallTimeout()));
 			return;
 		}
 		giveUp(stream, (stream.answer.attempt() == 0) ? ErrorKind.NO_ENDPOINT : ErrorKind.ANSWER_INCOMPLETE);
 	}
 
 	/**
-	 * Takes the outcome of {@link StreamCommand.MoveCache}.
+	 * Handles the result of {@link StreamCommand.MoveCache}.
 	 * @param request the request
-	 * @param target the endpoint that was to import the KV cache
-	 * @param imported whether it did
+	 * @param target the endpoint that imports the KV cache
+	 * @param imported whether the import succeeded
 	 */
 	public void cacheMoved(RequestId request, EndpointId target, boolean imported) {
 		StreamEntity stream = running(request);
@@ -149,10 +151,10 @@
 	}
 
 	/**
-	 * Takes a piece of an answer.
+	 * Handles a piece of an answer.
 	 * @param request the request
 	 * @param piece the piece
-	 * @return what became of it
+	 * @return the result
 	 */
 	public PieceResult piece(RequestId request, Piece piece) {
 		StreamEntity stream = running(request);
@@ -163,33 +165,34 @@
 		Instant now = this.clock.instant();
 		if (result instanceof PieceResult.Accepted accepted) {
 			long tokens = accepted.pieces().getLast().toOffset() - accepted.pieces().getFirst().fromOffset();
-			stream.heard(now, tokens);
-			stream.fruitlessAttempts = 0;
+			stream.pieceReceived(now, tokens);
+			stream.attemptsWithoutProgress = 0;
 			this.port.execute(new StreamCommand.Deliver(request, accepted.pieces()));
 			if (stream.answer.end() != null) {
 				finish(stream);
 			}
 			else if (stream.target == null) {
-				expectNext(stream);
+				scheduleStallTimeout(stream);
 			}
 		}
 		else if (result instanceof PieceResult.Gap && stream.target == null) {
-			this.timers.scheduleSooner(stream, now.plus(this.settings.gapPatience()));
+			this.timers.scheduleSooner(stream, now.plus(this.settings.missingPieceTimeout()));
 		}
 		else if (result instanceof PieceResult.Duplicate && stream.target == null) {
-			// A stream that starts from nothing repeats what is there; it is not quiet.
-			stream.heard(now, piece.toOffset() - piece.fromOffset());
-			expectNext(stream);
+			// A restarted stream repeats tokens that were already received; it is not
+			// stalled.
+			stream.pieceReceived(now, piece.toOffset() - piece.fromOffset());
+			scheduleStallTimeout(stream);
 		}
 		return result;
 	}
 
 	/**
-	 * Takes the end of an answer, as the endpoint says it.
+	 * Handles the end of an answer reported by the endpoint.
 	 * @param request the request
 	 * @param attempt the attempt that ended
 	 * @param totalOffset the offset after its last token
-	 * @param finishReason the reason that the engine gave
+	 * @param finishReason the finish reason reported by the engine
 	 */
 	public void ended(RequestId request, int attempt, long totalOffset, String finishReason) {
 		StreamEntity stream = running(request);
@@ -199,7 +202,8 @@
 		EndResult result = stream.answer.end(attempt, totalOffset, new EndOfAnswer.Complete(finishReason));
 		switch (result) {
 			case ENDED -> finish(stream);
-			case WAITING -> this.timers.scheduleSooner(stream, this.clock.instant().plus(this.settings.gapPatience()));
+			case WAITING ->
+				this.timers.scheduleSooner(stream, this.clock.instant().plus(this.settings.missingPieceTimeout()));
 			case SHORT -> moveAway(stream);
 			case STALE -> {
 			}
@@ -207,11 +211,11 @@
 	}
 
 	/**
-	 * Takes the word that an attempt's connection broke, or that its endpoint does not
-	 * know the stream.
+	 * Handles the failure of an attempt's connection, or an unknown stream at its
+	 * endpoint.
 	 * @param request the request
 	 * @param attempt the attempt
-	 * @param streamKnown whether the endpoint may still run the stream
+	 * @param streamKnown whether the endpoint may still be running the stream
 	 */
 	public void broken(RequestId request, int attempt, boolean streamKnown) {
 		StreamEntity stream = running(request);
@@ -228,8 +232,8 @@
 	}
 
 	/**
-	 * Takes the word that an endpoint does not resume from given tokens: the answer is
-	 * computed from nothing.
+	 * Handles the refusal of an endpoint to resume from given tokens. The answer is
+	 * restarted from the beginning.
 	 * @param request the request
 	 * @param attempt the attempt
 	 */
@@ -238,9 +242,9 @@
 		if (stream != null && stream.answer.attempt() == attempt) {
 			EndpointId endpoint = stream.endpoint;
 			if (stream.resumedTokens > 0) {
-				this.counters.takeBack(StreamMove.RESUMED, stream.resumedTokens);
+				this.counters.revertMove(StreamMove.RESUMED, stream.resumedTokens);
 			}
-			stream.refusedResume = true;
+			stream.resumeUnsupported = true;
 			if (endpoint != null) {
 				open(stream, endpoint, false);
 			}
@@ -248,10 +252,10 @@
 	}
 
 	/**
-	 * Takes the notice that an endpoint is about to be reclaimed. Streams that will not
-	 * end in time are moved; none is begun there any more.
+	 * Handles a reclaim notice for an endpoint. Streams that will not end in time are
+	 * moved, and no new stream is started there.
 	 * @param endpoint the endpoint
-	 * @param reclaimAt the time at which the platform takes it
+	 * @param reclaimAt the time at which the platform reclaims it
 	 */
 	public void endpointLeaving(EndpointId endpoint, Instant reclaimAt) {
 		if (!this.leaving.add(endpoint, reclaimAt)) {
@@ -260,14 +264,14 @@
 		Instant limit = this.leaving.lastUse(reclaimAt);
 		for (RequestId request : this.table.at(endpoint)) {
 			StreamEntity stream = running(request);
-			if (stream != null && stream.probableEnd(this.clock.instant()).isAfter(limit)) {
+			if (stream != null && stream.estimatedEnd(this.clock.instant()).isAfter(limit)) {
 				place(stream);
 			}
 		}
 	}
 
 	/**
-	 * Takes the word that an endpoint is gone, with or without notice.
+	 * Handles the loss of an endpoint, with or without a reclaim notice.
 	 * @param endpoint the endpoint
 	 */
 	public void endpointGone(EndpointId endpoint) {
@@ -280,7 +284,8 @@
 	}
 
 	/**
-	 * Forgets a stream that belongs to another entry now. Nothing more is delivered here.
+	 * Removes a stream that is now owned by another entry. This entry delivers no further
+	 * pieces of it.
 	 * @param request the request
 	 */
 	public void released(RequestId request) {
@@ -292,8 +297,8 @@
 	}
 
 	/**
-	 * Ends an answer with an error at once, for a reason that only the caller of this
-	 * method knows.
+	 * Ends an answer with an error immediately, for a reason known to the caller of this
+	 * method.
 	 * @param request the request
 	 * @param kind the kind of error
 	 */
@@ -305,7 +310,8 @@
 	}
 
 	/**
-	 * Does what is due: resumes the quiet and gives up on the late.
+	 * Handles expired timers: reattaches or moves stalled streams and fails streams past
+	 * their deadline.
 	 */
 	public void tick() {
 		Instant now = this.clock.instant();
@@ -317,21 +323,21 @@
 			}
 			timer = this.timers.poll(now);
 		}
-		this.table.forget(now, this.settings.maximumEndedCharacters());
-		this.leaving.forgetOld(now);
+		this.table.removeExpired(now, this.settings.maximumEndedCharacters());
+		this.leaving.removeExpired(now);
 	}
 
 	/**
-	 * Returns the counts.
-	 * @return the counts
+	 * Returns the counters.
+	 * @return the counters
 	 */
 	public StreamCounters counters() {
 		return this.counters;
 	}
 
 	private StreamEntity add(HeldRequest held, long promptTokens, long expectedTokens) {
-		StreamEntity stream = new StreamEntity(held, promptTokens, expectedTokens, this.settings.maximumWaiting(),
-				this.clock.instant());
+		StreamEntity stream = new StreamEntity(held, promptTokens, expectedTokens,
+				this.settings.maximumBufferedPieces(), this.clock.instant());
 		stream.placing = true;
 		this.table.add(stream);
 		this.timers.schedule(stream, held.deadline());
@@ -358,8 +364,8 @@
 			moveAway(stream);
 		}
 		else {
-			// The connection may have gone silent for good while new ones work, so the
-			// same endpoint is asked over a new one before anything is computed again.
+			// The connection may be permanently stalled while new connections work, so a
+			// new connection to the same endpoint is tried before anything is recomputed.
 			reattach(stream, endpoint);
 		}
 	}
@@ -368,7 +374,7 @@
 		stream.placing = true;
 		Set<EndpointId> excluded = new LinkedHashSet<>(stream.failed);
 		excluded.addAll(this.leaving.all());
-		this.timers.schedule(stream, this.clock.instant().plus(this.settings.firstPieceGap()));
+		this.timers.schedule(stream, this.clock.instant().plus(this.settings.firstPieceTimeout()));
 		this.port.execute(new StreamCommand.Place(stream.held().request(), excluded));
 	}
 
@@ -396,7 +402,7 @@
 		stream.placing = false;
 		stream.reattached = true;
 		this.counters.countMove(StreamMove.REATTACHED, 0);
-		expectNext(stream);
+		scheduleStallTimeout(stream);
 		this.port.execute(new StreamCommand.Reattach(stream.held().request(), stream.answer.attempt(), endpoint,
 				stream.answer.nextOffset()));
 	}
@@ -406,7 +412,8 @@
 				"request %s opened at leaving endpoint %s", stream.held().request(), endpoint);
 		stream.target = null;
 		if (this.leaving.contains(endpoint)) {
-			// The target was told to leave while the KV cache was on its way there.
+			// The target has received a reclaim notice during the transfer of the KV
+			// cache.
 			place(stream);
 			return;
 		}
@@ -420,8 +427,8 @@
 		RequestId request = stream.held().request();
 		int attempt = stream.answer.attempt();
 		long offset = stream.answer.nextOffset();
-		expectNext(stream);
-		if (offset == 0 || stream.refusedResume) {
+		scheduleStallTimeout(stream);
+		if (offset == 0 || stream.resumeUnsupported) {
 			if (attempt > 1) {
 				this.counters.countMove(StreamMove.RESTARTED, stream.promptTokens() + offset);
 			}
@@ -440,13 +447,13 @@
 	}
 
 	private boolean beginAttempt(StreamEntity stream) {
-		if (stream.fruitlessAttempts >= this.settings.maximumAttempts()) {
+		if (stream.attemptsWithoutProgress >= this.settings.maximumAttempts()) {
 			giveUp(stream, ErrorKind.ANSWER_INCOMPLETE);
 			return false;
 		}
 		close(stream, false);
 		stream.answer.beginAttempt(stream.answer.attempt() + 1);
-		stream.attemptBegins(this.clock.instant());
+		stream.attemptStarted(this.clock.instant());
 		return true;
 	}
 
@@ -461,8 +468,8 @@
 	private void giveUp(StreamEntity stream, ErrorKind kind) {
 		this.counters.countGivenUp();
 		close(stream, true);
-		boolean first = stream.answer.giveUp(kind, this.port.retryAfter(stream.held().service()));
-		Invariant.check(first, "answer of %s ended twice", stream.held().request());
+		boolean ended = stream.answer.giveUp(kind, this.port.retryAfter(stream.held().service()));
+		Invariant.check(ended, "answer of %s ended twice", stream.held().request());
 		finish(stream);
 	}
 
@@ -480,8 +487,8 @@
 		return (stream != null && stream.answer.end() == null) ? stream : null;
 	}
 
-	private void expectNext(StreamEntity stream) {
-		this.timers.schedule(stream, stream.lastHeard.plus(stream.expectedGap(this.settings)));
+	private void scheduleStallTimeout(StreamEntity stream) {
+		this.timers.schedule(stream, stream.lastPieceAt.plus(stream.stallTimeout(this.settings)));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamTable.java
@@ -16,8 +16,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The streams of owned requests, and ended answers for a bounded time and size. Used by
- * the entry's tick thread only.
+ * The streams of owned requests, and ended answers within bounds on time and size.
+ * Confined to the entry's tick thread.
  */
 public final class StreamTable {
 
@@ -32,24 +32,24 @@
 	private int running;
 
 	/**
-	 * Returns a stream that runs or has ended not long ago.
+	 * Returns a running or recently ended stream.
 	 * @param request the request
-	 * @return the stream, or {@code null} if it is not known
+	 * @return the stream, or {@code null} if there is none
 	 */
 	public @Nullable StreamEntity find(RequestId request) {
 		return this.streams.get(request);
 	}
 
 	/**
-	 * Returns the number of streams that have not ended.
-	 * @return the number
+	 * Returns the number of running streams.
+	 * @return the number of streams
 	 */
 	public int running() {
 		return this.running;
 	}
 
 	/**
-	 * Returns the streams that run at an endpoint.
+	 * Returns the requests whose streams run at an endpoint.
 	 * @param endpoint the endpoint
 	 * @return the requests
 	 */
@@ -59,8 +59,9 @@
 
 	void add(StreamEntity stream) {
 		RequestId request = stream.held().request();
-		StreamEntity known = this.streams.put(request, stream);
-		Invariant.check(known == null || known.answer().end() != null, "request %s streams twice", request);
+		StreamEntity previous = this.streams.put(request, stream);
+		Invariant.check(previous == null || previous.answer().end() != null, "request %s already has a running stream",
+				request);
 		this.running++;
 	}
 
@@ -79,11 +80,11 @@
 		}
 	}
 
-	void end(StreamEntity stream, Instant forgetAt) {
+	void end(StreamEntity stream, Instant expiresAt) {
 		setEndpoint(stream, null);
 		this.running--;
 		this.endedCharacters += stream.answer().characters();
-		this.ended.add(new Ended(stream, forgetAt));
+		this.ended.add(new Ended(stream, expiresAt));
 	}
 
 	void remove(StreamEntity stream) {
@@ -92,9 +93,9 @@
 		this.streams.remove(stream.held().request());
 	}
 
-	void forget(Instant now, long maximumCharacters) {
+	void removeExpired(Instant now, long maximumCharacters) {
 		Ended oldest = this.ended.peek();
-		while (oldest != null && (oldest.forgetAt.isBefore(now) || this.endedCharacters > maximumCharacters)) {
+		while (oldest != null && (oldest.expiresAt.isBefore(now) || this.endedCharacters > maximumCharacters)) {
 			this.ended.poll();
 			this.endedCharacters -= oldest.stream.answer().characters();
 			this.streams.remove(oldest.stream.held().request(), oldest.stream);
@@ -102,7 +103,7 @@
 		}
 	}
 
-	private record Ended(StreamEntity stream, Instant forgetAt) {
+	private record Ended(StreamEntity stream, Instant expiresAt) {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamTimers.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamTimers.java
@@ -8,11 +8,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * When streams are to be looked at again.
+ * The timers of streams.
  * <p>
- * A stream has one timer that counts. It is queued again when it fires early, since each
- * piece moves the due time on and queueing a timer per piece would cost more than the
- * piece.
+ * A stream has one active timer. A timer that fires before the due time is queued again:
+ * each piece postpones the due time, and queueing a timer for each piece would cost more
+ * than the piece itself.
  */
 final class StreamTimers {
 
@@ -35,9 +35,9 @@
 	}
 
 	/**
-	 * Takes the next timer that has fired.
-	 * @param now the time
-	 * @return the timer, or {@code null} if none has
+	 * Removes and returns the next timer that has fired.
+	 * @param now the current time
+	 * @return the timer, or {@code null} if none has fired
 	 */
 	@Nullable Timer poll(Instant now) {
 		Timer next = this.timers.peek();
@@ -45,12 +45,12 @@
 	}
 
 	/**
-	 * Returns whether a stream is due. A timer that was replaced by a later one of the
-	 * same stream counts for nothing, and one that fires early is queued again.
+	 * Returns whether a stream is due. A timer that was replaced by another one of the
+	 * same stream is ignored, and a timer that fires early is queued again.
 	 * @param timer the timer that fired
 	 * @param stream its stream
-	 * @param now the time
-	 * @return whether the stream is to be looked at
+	 * @param now the current time
+	 * @return {@code true} if the stream must be processed
 	 */
 	boolean isDue(Timer timer, StreamEntity stream, Instant now) {
 		if (!stream.timerAt.equals(timer.due)) {
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Answers of requests: their pieces put in order, kept for callers that reconnect, and
- * moved between endpoints.
+ * Streaming of answers: reassembly of pieces, retention for reconnecting callers, and
+ * migration between endpoints.
  */
 @NullMarked
 package org.banyancove.core.stream;
--- a/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerBufferTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerBufferTests.java
@@ -20,18 +20,17 @@
 	private final AnswerBuffer buffer = new AnswerBuffer(16);
 
 	/*
-	 * The caller sees its whole answer once. Pieces come late, repeated, reordered and
-	 * cut at other bounds, and the end comes before the last of them; resumes fill what
-	 * the bounded buffer let go. A piece taken twice or a skipped gap would show in the
-	 * text.
+	 * Guards against duplicate or missing tokens: pieces are late, duplicated, reordered
+	 * and split at different boundaries, and the end arrives before the last piece.
+	 * Resumes deliver the pieces that the bounded buffer has dropped.
 	 */
 	@Property(tries = 300, seed = "4711")
-	void shuffledRepeatedAndCutPiecesGiveTheWholeAnswer(@ForAll long seed) {
+	void reorderedDuplicateAndSplitPiecesGiveCompleteAnswer(@ForAll long seed) {
 		Random random = new Random(seed);
 		AnswerBuffer answer = new AnswerBuffer(random.nextInt(8));
 		List<Piece> sent = new ArrayList<>();
 		for (int copy = 0; copy < 2; copy++) {
-			sent.addAll(cut(random, 0, 0));
+			sent.addAll(split(random, 0, 0));
 		}
 		Collections.shuffle(sent, random);
 		StringBuilder delivered = new StringBuilder();
@@ -47,7 +46,7 @@
 			attempt++;
 			answer.beginAttempt(attempt);
 			answer.end(attempt, LENGTH, new EndOfAnswer.Complete("stop"));
-			for (Piece piece : cut(random, attempt, (int) answer.nextOffset())) {
+			for (Piece piece : split(random, attempt, (int) answer.nextOffset())) {
 				deliver(answer, piece, delivered);
 			}
 		}
@@ -55,12 +54,12 @@
 	}
 
 	/*
-	 * The caller sees one answer though two attempts of its request both answer: the
-	 * first endpoint was quiet, a second took over, and then the first one's pieces come.
-	 * They are dropped, also where they would fit, since their end could cut the answer.
+	 * Guards against mixing two attempts: the first endpoint stalls, a second one takes
+	 * over, and then pieces of the first one arrive. They are dropped even if they are
+	 * contiguous, since their end could truncate the answer.
 	 */
 	@Test
-	void piecesAndEndOfAReplacedAttemptAreStale() {
+	void piecesAndEndOfReplacedAttemptAreStale() {
 		this.buffer.accept(piece(0, 0, 3));
 		this.buffer.beginAttempt(1);
 		assertThat(this.buffer.accept(piece(0, 3, 4))).isEqualTo(new PieceResult.Stale());
@@ -70,11 +69,12 @@
 	}
 
 	/*
-	 * The caller must not take a truncated answer for a whole one: the endpoint's end
-	 * says eight tokens while only five came, so the answer waits for the rest.
+	 * Guards against delivering a truncated answer as complete: the endpoint reports an
+	 * end after eight tokens when only five were received, so the answer waits for the
+	 * remaining ones.
 	 */
 	@Test
-	void anEndAfterAGapWaitsAndATooShortEndIsRefused() {
+	void endAfterGapWaitsAndTooShortEndIsRefused() {
 		this.buffer.accept(piece(0, 0, 5));
 		assertThat(this.buffer.end(0, 4, new EndOfAnswer.Complete("stop"))).isEqualTo(EndResult.SHORT);
 		assertThat(this.buffer.end(0, 8, new EndOfAnswer.Complete("stop"))).isEqualTo(EndResult.WAITING);
@@ -86,7 +86,7 @@
 	}
 
 	@Test
-	void aCallerThatReconnectsReadsFromItsLastEvent() {
+	void reconnectedCallerReadsFromItsLastEvent() {
 		this.buffer.accept(piece(0, 0, 3));
 		this.buffer.accept(piece(0, 3, 4));
 		this.buffer.accept(piece(0, 4, 9));
@@ -96,12 +96,12 @@
 	}
 
 	/*
-	 * A caller has five tokens from an entry that died; the entry it comes to has cut the
-	 * answer at other bounds. It gets the whole answer, and what it has already is cut
-	 * off by the text, not by a guess.
+	 * Guards against a corrupted answer after reconnecting: a caller has five tokens from
+	 * a failed entry, and the next entry uses different piece boundaries. It receives the
+	 * complete answer, and the known part is removed by comparing the text.
 	 */
 	@Test
-	void aCallerWithOtherBoundsGetsTheWholeAndLosesNothing() {
+	void callerWithDifferentBoundariesReceivesCompleteAnswer() {
 		this.buffer.accept(piece(0, 0, 4));
 		this.buffer.accept(piece(0, 4, 9));
 		AnswerBuffer callers = new AnswerBuffer(0);
@@ -114,7 +114,7 @@
 	}
 
 	@Test
-	void anAnswerThatIsGivenUpEndsOnceWithItsErrorAndTheTimeToComeBack() {
+	void abandonedAnswerEndsOnceWithErrorAndRetryDelay() {
 		assertThat(this.buffer.giveUp(ErrorKind.ANSWER_INCOMPLETE, Duration.ofSeconds(3))).isTrue();
 		assertThat(this.buffer.giveUp(ErrorKind.INTERNAL, Duration.ofSeconds(9))).isFalse();
 		assertThat(this.buffer.end())
@@ -127,7 +127,7 @@
 		}
 	}
 
-	private static List<Piece> cut(Random random, int attempt, int from) {
+	private static List<Piece> split(Random random, int attempt, int from) {
 		List<Piece> pieces = new ArrayList<>();
 		int offset = from;
 		while (offset < LENGTH) {
--- a/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerReaderTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerReaderTests.java
@@ -11,11 +11,12 @@
  */
 class AnswerReaderTests {
 
-	// A caller reads tokens 0 to 2. The entry dies, and the one that takes over has a
-	// copy up to token 1 and reads the engine's stream again, now cut from 1 to 4. The
-	// caller must get just the tokens it lacks, also where a token is no whole word.
+	// Guards against duplicate or missing tokens after a takeover: a caller has read
+	// tokens 0 to 2, and the entry fails. The next owner has a copy up to token 1 and
+	// reads the engine's stream again with a piece from 1 to 4. The caller must receive
+	// only the missing tokens, even if a token is not a complete word.
 	@Test
-	void piecesCutElsewhereAreJoinedByTheirText() {
+	void piecesWithDifferentBoundariesAreJoinedByText() {
 		AnswerReader reader = new AnswerReader(0);
 		reader.take(List.of(piece(0, 2, "salmon pel")));
 		assertThat(reader.take(List.of(piece(1, 4, "pellets by noon")))).isNull();
@@ -23,21 +24,22 @@
 			.containsExactly(piece(2, 4, "lets by noon"));
 	}
 
-	// A caller comes back with the offset 2 to an entry that has no bound there. The
-	// connection is new, so nothing says what the first two tokens were: the answer
-	// starts over.
+	// A caller reconnects with offset 2 to an entry that has no piece boundary there. The
+	// text of the first two tokens is unknown on the new connection, so the answer
+	// restarts.
 	@Test
-	void newConnectionWithoutABoundStartsOver() {
+	void newConnectionWithoutBoundaryRestarts() {
 		AnswerReader reader = new AnswerReader(2);
-		List<Piece> whole = List.of(piece(0, 1, "salmon "), piece(1, 4, "pellets by noon"));
-		assertThat(reader.take(whole)).isEqualTo(whole);
+		List<Piece> pieces = List.of(piece(0, 1, "salmon "), piece(1, 4, "pellets by noon"));
+		assertThat(reader.take(pieces)).isEqualTo(pieces);
 		assertThat(reader.offset()).isEqualTo(4);
 	}
 
-	// Two entries own the request on both sides of a cut, and the second wrote another
-	// text. What the caller has must not be continued with it.
+	// Guards against joining different texts: two entries own the request during a
+	// network partition, and the second one has a different text. It must not continue
+	// the text that the caller has received.
 	@Test
-	void anotherTextIsNotJoined() {
+	void differentTextIsNotJoined() {
 		AnswerReader reader = new AnswerReader(0);
 		reader.take(List.of(piece(0, 2, "salmon pellets")));
 		assertThat(reader.take(List.of(piece(0, 3, "mussel ropes at noon")))).isNull();
--- a/banyancove-core/src/test/java/org/banyancove/core/stream/StreamSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/stream/StreamSystemTests.java
@@ -30,7 +30,7 @@
 
 	private static final EndpointId SECOND = new EndpointId("e-2");
 
-	private static final Duration COME_BACK = Duration.ofSeconds(9);
+	private static final Duration RETRY_AFTER = Duration.ofSeconds(9);
 
 	private final List<StreamCommand> commands = new ArrayList<>();
 
@@ -41,12 +41,11 @@
 	private final StreamSystem system = new StreamSystem(this.table, () -> this.now, StreamSettings.defaults(), this);
 
 	/*
-	 * The caller sees a pause and then the rest. The connection to the engine has gone
-	 * silent while new ones work; the stream is asked for again over a new connection and
-	 * what still comes over the old one is dropped.
+	 * Guards against a stalled connection while new connections work: the stream is
+	 * reattached over a new connection, and pieces from the old connection are dropped.
 	 */
 	@Test
-	void aQuietStreamIsResumedOverANewConnectionAtTheSameEndpoint() {
+	void stalledStreamIsReattachedAtSameEndpoint() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 3));
 		this.system.piece(REQUEST, piece(1, 3, 4));
@@ -58,11 +57,11 @@
 	}
 
 	/*
-	 * The engine itself hangs: the new connection stays quiet too. The stream moves to
-	 * another endpoint with its tokens so far, and those count as computed again.
+	 * The engine itself hangs, so the new connection stalls as well. The stream moves to
+	 * another endpoint with its tokens so far, which count as recomputed.
 	 */
 	@Test
-	void aStreamThatStaysQuietMovesWithItsTokens() {
+	void streamStalledAfterReattachmentIsResumedElsewhere() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 4));
 		pass(Duration.ofSeconds(13));
@@ -73,12 +72,12 @@
 	}
 
 	/*
-	 * The engine's VM gets a reclaim notice in the middle of a long draft. Its KV cache
-	 * is moved while it streams on, and the draft goes on elsewhere with nothing
-	 * recomputed.
+	 * The engine's VM receives a reclaim notice during a long answer. The KV cache is
+	 * moved while the stream continues, and the answer continues at another endpoint
+	 * without recomputation.
 	 */
 	@Test
-	void aStreamLeavesWithItsCacheAndStreamsOnMeanwhile() {
+	void streamContinuesWhileItsCacheIsMoved() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 4));
 		this.system.endpointLeaving(FIRST, this.now.plusSeconds(30));
@@ -93,7 +92,7 @@
 	}
 
 	@Test
-	void aCacheThatDoesNotComeInTimeIsNotWaitedFor() {
+	void streamIsResumedIfCacheMoveTimesOut() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 4));
 		this.system.endpointLeaving(FIRST, this.now.plusSeconds(8));
@@ -105,11 +104,12 @@
 	}
 
 	/*
-	 * The router has not heard of the notice yet and places new work on the leaving
-	 * endpoint. The stream system has, and asks again.
+	 * Guards against starting a stream at a leaving endpoint: the placement has not
+	 * received the notice yet and selects the leaving endpoint. The stream system
+	 * requests another one.
 	 */
 	@Test
-	void nothingBeginsAtALeavingEndpoint() {
+	void noStreamIsStartedAtLeavingEndpoint() {
 		this.system.endpointLeaving(FIRST, this.now.plusSeconds(30));
 		start();
 		assertThat(this.commands).containsExactly(new StreamCommand.Place(REQUEST, Set.of(FIRST)));
@@ -118,7 +118,7 @@
 	}
 
 	@Test
-	void aMissingPieceIsAskedForSoon() {
+	void missingPieceIsRequestedAfterTimeout() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 2));
 		assertThat(this.system.piece(REQUEST, piece(1, 3, 4))).isEqualTo(new PieceResult.Gap(2));
@@ -127,11 +127,11 @@
 	}
 
 	/*
-	 * The engine ends after fewer tokens than it sent before. The caller must not take
-	 * that for a whole answer: the stream goes on elsewhere.
+	 * Guards against delivering a truncated answer as complete: the engine ends after
+	 * fewer tokens than it has sent. The stream continues at another endpoint.
 	 */
 	@Test
-	void anAnswerThatWouldBeShortIsNotEnded() {
+	void truncatedAnswerIsNotEnded() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 5));
 		this.system.ended(REQUEST, 1, 3, "stop");
@@ -140,18 +140,18 @@
 	}
 
 	@Test
-	void whatCannotBePlacedEndsAtOnceWithTheTimeToComeBack() {
+	void streamWithoutEndpointFailsImmediatelyWithRetryDelay() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 4));
 		this.system.endpointGone(FIRST);
 		this.system.notPlaced(REQUEST);
 		assertThat(this.commands.getLast()).isEqualTo(
-				new StreamCommand.End(REQUEST, 4, new EndOfAnswer.Failed(ErrorKind.ANSWER_INCOMPLETE, COME_BACK)));
+				new StreamCommand.End(REQUEST, 4, new EndOfAnswer.Failed(ErrorKind.ANSWER_INCOMPLETE, RETRY_AFTER)));
 		assertThat(this.table.running()).isZero();
 	}
 
 	@Test
-	void theDeadlineEndsTheAnswerWithAnErrorOnce() {
+	void deadlineEndsAnswerWithSingleError() {
 		start();
 		pass(Duration.ofSeconds(61));
 		assertThat(this.commands.stream().filter(StreamCommand.End.class::isInstance)).hasSize(1);
@@ -159,11 +159,11 @@
 	}
 
 	/*
-	 * An engine that does not resume computes the answer from nothing. The caller sees no
-	 * token twice, and all tokens count as computed again.
+	 * An engine that does not support resuming recomputes the answer from the beginning.
+	 * No token is delivered twice, and all tokens count as recomputed.
 	 */
 	@Test
-	void aRefusedResumeStartsFromNothingWithoutRepeating() {
+	void refusedResumeRestartsWithoutRepeatingTokens() {
 		this.system.adopt(held(), new Progress(null, 1, 0, List.of(piece(1, 0, 4))), 100, 10);
 		this.system.placed(REQUEST, SECOND);
 		this.system.resumeRefused(REQUEST, 2);
@@ -177,12 +177,12 @@
 	}
 
 	/*
-	 * The same where the second run cuts its pieces across the end of what is there. The
-	 * overlapping piece can't be cut by a guess, so the rest is asked for from the exact
-	 * offset.
+	 * As above, but a piece of the second run spans the end of the received tokens. The
+	 * overlapping piece cannot be split reliably, so the remainder is requested from the
+	 * exact offset.
 	 */
 	@Test
-	void aPieceAcrossTheEndOfWhatIsThereIsAskedForAgain() {
+	void pieceSpanningEndOfReceivedTokensIsRequestedAgain() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 4));
 		assertThat(this.system.piece(REQUEST, piece(1, 3, 6))).isEqualTo(new PieceResult.Gap(4));
@@ -191,7 +191,7 @@
 	}
 
 	@Test
-	void endedAnswersAreKeptForABoundedTime() {
+	void endedAnswersAreKeptForLimitedTime() {
 		start();
 		this.system.piece(REQUEST, piece(1, 0, 4));
 		this.system.ended(REQUEST, 1, 4, "stop");
@@ -224,7 +224,7 @@
 
 	@Override
 	public Duration retryAfter(ServiceName service) {
-		return COME_BACK;
+		return RETRY_AFTER;
 	}
 
 	private static Piece piece(int attempt, int from, int to) {
