--- a/banyancove-core/src/main/java/org/banyancove/core/entry/FetchSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerFetchSystem.java
@@ -26,28 +26,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Fetches answers from the entries that own them, for callers that came back here or
- * whose request was handed over while they waited.
+ * Fetches answers from the entries that own them, for callers that reconnected to this
+ * entry or whose request was handed over while they waited.
  */
-final class FetchSystem {
+final class AnswerFetchSystem {
 
 	private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
 	/**
-	 * A handover is acknowledged, or tried at the next peer, several times within this.
+	 * The maximum duration of a handover, which is acknowledged, or retried at the next
+	 * peer, several times within this time.
 	 */
-	private static final Duration HANDOVER_TIME = Duration.ofMillis(1500);
+	private static final Duration MAXIMUM_HANDOVER_DURATION = Duration.ofMillis(1500);
 
 	/**
-	 * An owner's death is known, and its requests are taken over, well within this; a
-	 * caller that hears nothing for longer should ask again.
+	 * The failure of an owner is detected, and its requests are taken over, well within
+	 * this time; a caller that receives no tokens for longer should reconnect.
 	 */
-	private static final Duration STANDSTILL = Duration.ofSeconds(30);
+	private static final Duration PROGRESS_TIMEOUT = Duration.ofSeconds(30);
 
-	/** The peers of another data center answer well within this. */
-	private static final Duration PATIENCE = Duration.ofSeconds(3);
+	/** The peers of another data center respond well within this time. */
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
-	private static final Duration TAKEOVER_TIME = Duration.ofSeconds(20);
+	private static final Duration TAKEOVER_TIMEOUT = Duration.ofSeconds(20);
 
 	private final Incarnation self;
 
@@ -65,7 +66,7 @@
 
 	private final Map<SubscriberId, RemoteAnswer> fetches = new LinkedHashMap<>();
 
-	FetchSystem(Incarnation self, PeerTable peers, HandoverSystem handover, HoldTable holds, PeerPort port,
+	AnswerFetchSystem(Incarnation self, PeerTable peers, HandoverSystem handover, HoldTable holds, PeerPort port,
 			AnswerSystem answers, InstantSource clock) {
 		this.self = self;
 		this.peers = peers;
@@ -76,16 +77,17 @@
 		this.clock = clock;
 	}
 
-	// Looks for an answer that is not known here.
-	void find(EntryEvent.CallerReturned caller) {
+	// Starts to fetch an answer that this entry does not have.
+	void start(EntryEvent.CallerReturned caller) {
 		RemoteAnswer fetch = new RemoteAnswer(caller.subscriber(), caller.request(), caller.account(),
 				new AnswerReader(caller.fromOffset()), this.clock.instant());
 		this.fetches.put(caller.subscriber(), fetch);
-		// A fresh process knows no peer yet; it asks as soon as it does.
-		this.handover.probablyKnow(caller.request()).forEach((peer) -> ask(fetch, peer));
+		// A process that has just started knows no peers yet; the next poll sends
+		// the request.
+		this.handover.probablyKnow(caller.request()).forEach((peer) -> sendFetchRequest(fetch, peer));
 	}
 
-	// Goes on delivering an answer that another entry owns now.
+	// Continues to deliver an answer that another entry owns now.
 	void follow(RequestEntity request, Incarnation owner) {
 		request.subscribers.forEach((subscriber, reader) -> {
 			RemoteAnswer fetch = new RemoteAnswer(subscriber, request.id(), request.call.account(), reader,
@@ -96,7 +98,7 @@
 		});
 	}
 
-	void left(SubscriberId subscriber) {
+	void callerLeft(SubscriberId subscriber) {
 		this.fetches.remove(subscriber);
 	}
 
@@ -104,10 +106,10 @@
 		return this.fetches.isEmpty();
 	}
 
-	void received(PeerMessage.AnswerPieces message) {
+	void piecesReceived(PeerMessage.AnswerPieces message) {
 		for (RemoteAnswer fetch : new ArrayList<>(this.fetches.values())) {
 			if (fetch.request.equals(message.request())) {
-				received(fetch, message);
+				piecesReceived(fetch, message);
 			}
 		}
 	}
@@ -115,15 +117,15 @@
 	void tick() {
 		Instant now = this.clock.instant();
 		for (RemoteAnswer fetch : new ArrayList<>(this.fetches.values())) {
-			if (this.answers.returned(returned(fetch), fetch.reader)) {
+			if (this.answers.callerReturned(callerReturnedEvent(fetch), fetch.reader)) {
 				this.fetches.remove(fetch.subscriber);
 			}
 			else if (isUnknown(fetch, now)) {
 				this.fetches.remove(fetch.subscriber);
-				this.answers.unknown(returned(fetch));
+				this.answers.failUnknown(callerReturnedEvent(fetch));
 			}
-			else if (isSilent(fetch, now) || fetch.progressAt.plus(STANDSTILL).isBefore(now)) {
-				giveUp(fetch);
+			else if (hasTimedOut(fetch, now) || fetch.progressAt.plus(PROGRESS_TIMEOUT).isBefore(now)) {
+				fail(fetch);
 			}
 			else if (!now.isBefore(fetch.nextPoll)) {
 				poll(fetch, now);
@@ -131,12 +133,12 @@
 		}
 	}
 
-	private void received(RemoteAnswer fetch, PeerMessage.AnswerPieces message) {
+	private void piecesReceived(RemoteAnswer fetch, PeerMessage.AnswerPieces message) {
 		if (!message.found()) {
-			fetch.denied.add(message.from());
+			fetch.notFoundAt.add(message.from());
 			return;
 		}
-		fetch.heardAt = this.clock.instant();
+		fetch.respondedAt = this.clock.instant();
 		Incarnation owner = message.owner();
 		if (owner != null) {
 			fetch.owner = owner;
@@ -152,13 +154,13 @@
 		}
 	}
 
-	// Several entries may answer at once: a piece that was delivered is passed over, and
-	// one beyond a gap is asked for again.
+	// Several entries may respond concurrently: a piece that was already delivered
+	// is skipped, and one after a gap is requested again.
 	private void deliver(RemoteAnswer fetch, List<Piece> pieces) {
 		if (!pieces.isEmpty() && pieces.getFirst().fromOffset() <= fetch.reader.offset()) {
 			if (!this.answers.deliver(fetch.subscriber, fetch.reader, pieces)) {
 				this.fetches.remove(fetch.subscriber);
-				this.answers.cannotBeJoined(fetch.subscriber);
+				this.answers.failNotContiguous(fetch.subscriber);
 				return;
 			}
 			fetch.nextPoll = this.clock.instant();
@@ -177,66 +179,70 @@
 		this.answers.deliver(fetch.subscriber, last);
 	}
 
-	// An entry that is silent may still own the request, so this is no word that the
-	// request is unknown.
-	private void giveUp(RemoteAnswer fetch) {
+	// An entry that does not respond may still own the request, so the request is
+	// not reported as unknown.
+	private void fail(RemoteAnswer fetch) {
 		this.fetches.remove(fetch.subscriber);
 		this.answers.deliver(fetch.subscriber, new AnswerPart.Failure(ErrorKind.ANSWER_INCOMPLETE,
-				"the entry that owns the request does not answer; come back under its identifier", PATIENCE));
+				"the entry that owns the request does not answer; come back under its identifier", RESPONSE_TIMEOUT));
 	}
 
-	// An owner that was heard of may have died: its holder takes over once its death is
-	// known, which takes up to eleven seconds where a whole data center went.
-	private static boolean isSilent(RemoteAnswer fetch, Instant now) {
-		Duration patience = fetch.accepted ? TAKEOVER_TIME : PATIENCE;
-		return fetch.heardAt.plus(patience).isBefore(now);
+	// A known owner may have failed. Its holder takes the request over once the
+	// failure is detected, which takes up to eleven seconds if a whole data center
+	// failed.
+	private static boolean hasTimedOut(RemoteAnswer fetch, Instant now) {
+		Duration timeout = fetch.accepted ? TAKEOVER_TIMEOUT : RESPONSE_TIMEOUT;
+		return fetch.respondedAt.plus(timeout).isBefore(now);
 	}
 
-	// A request that is being handed over is known to no entry for a moment, so that one
-	// round of denials proves nothing.
+	// For a moment no entry owns a request that is being handed over, so one round
+	// of negative responses is not conclusive.
 	private boolean isUnknown(RemoteAnswer fetch, Instant now) {
-		return !fetch.accepted && !isHeldHere(fetch) && !fetch.asked.isEmpty() && fetch.denied.containsAll(fetch.asked)
-				&& fetch.heardAt.plus(HANDOVER_TIME).isBefore(now);
+		return !fetch.accepted && !isHeldHere(fetch) && !fetch.asked.isEmpty()
+				&& fetch.notFoundAt.containsAll(fetch.asked)
+				&& fetch.respondedAt.plus(MAXIMUM_HANDOVER_DURATION).isBefore(now);
 	}
 
-	// This entry holds a copy and takes the request over once its owner is believed dead.
+	// This entry holds a copy and takes the request over once its owner is
+	// considered failed.
 	private boolean isHeldHere(RemoteAnswer fetch) {
 		return this.holds.holds(fetch.request);
 	}
 
-	private static EntryEvent.CallerReturned returned(RemoteAnswer fetch) {
+	private static EntryEvent.CallerReturned callerReturnedEvent(RemoteAnswer fetch) {
 		return new EntryEvent.CallerReturned(fetch.subscriber, fetch.request, fetch.account, fetch.reader.offset());
 	}
 
-	// A copy that is held here serves what it has: an answer that ended just before its
-	// owner left is nowhere else, and nobody takes an ended request over.
+	// Pieces of a copy that this entry holds are delivered from here: an answer
+	// that ended just before its owner left exists nowhere else, and an ended
+	// request is not taken over by another entry.
 	private void poll(RemoteAnswer fetch, Instant now) {
 		fetch.nextPoll = now.plus(POLL_INTERVAL);
 		if (isHeldHere(fetch)) {
-			received(fetch, this.handover.answerTo(question(fetch)));
+			piecesReceived(fetch, this.handover.answerTo(fetchRequest(fetch)));
 		}
 		if (!this.fetches.containsKey(fetch.subscriber)) {
 			return;
 		}
 		PeerState owner = (fetch.owner != null) ? this.peers.find(fetch.owner) : null;
 		if (owner != null && owner.isLiving()) {
-			ask(fetch, owner);
+			sendFetchRequest(fetch, owner);
 			return;
 		}
-		this.handover.probablyKnow(fetch.request).forEach((peer) -> ask(fetch, peer));
+		this.handover.probablyKnow(fetch.request).forEach((peer) -> sendFetchRequest(fetch, peer));
 	}
 
-	private void ask(RemoteAnswer fetch, PeerState peer) {
+	private void sendFetchRequest(RemoteAnswer fetch, PeerState peer) {
 		fetch.asked.add(peer.incarnation());
-		this.port.send(peer.address(), question(fetch));
+		this.port.send(peer.address(), fetchRequest(fetch));
 	}
 
-	private PeerMessage.FetchAnswer question(RemoteAnswer fetch) {
+	private PeerMessage.FetchAnswer fetchRequest(RemoteAnswer fetch) {
 		return new PeerMessage.FetchAnswer(this.self, fetch.request, fetch.account, fetch.reader.offset());
 	}
 
 	/**
-	 * One caller's answer that another entry owns.
+	 * The state of fetching an answer that another entry owns, for one caller.
 	 */
 	private static final class RemoteAnswer {
 
@@ -250,9 +256,9 @@
 
 		private final Set<Incarnation> asked = new HashSet<>();
 
-		private final Set<Incarnation> denied = new HashSet<>();
+		private final Set<Incarnation> notFoundAt = new HashSet<>();
 
-		private Instant heardAt;
+		private Instant respondedAt;
 
 		private Instant nextPoll;
 
@@ -268,7 +274,7 @@
 			this.request = request;
 			this.account = account;
 			this.reader = reader;
-			this.heardAt = now;
+			this.respondedAt = now;
 			this.progressAt = now;
 			this.nextPoll = now.plus(POLL_INTERVAL);
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerPart.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerPart.java
@@ -9,20 +9,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A part of an answer on its way to a caller.
+ * A part of an answer that is delivered to a caller.
  */
 public sealed interface AnswerPart {
 
 	/**
-	 * Returns whether nothing follows this part.
-	 * @return whether the answer ends here
+	 * Returns whether this is the final part of the answer.
+	 * @return whether no further part follows
 	 */
 	default boolean last() {
 		return true;
 	}
 
 	/**
-	 * The request is accepted: it finishes, or its caller is told why not.
+	 * The request is accepted: it completes, or its caller receives an error.
 	 */
 	record Accepted() implements AnswerPart {
 
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * The answer goes on from its first token: whatever the caller has got of it is to be
-	 * dropped. Sent to a caller that came back at an offset that is no bound of the
-	 * pieces kept here.
+	 * The answer restarts at its first token, and the caller must discard the tokens that
+	 * it has received. Sent to a caller that reconnected at an offset that is not a
+	 * boundary of the retained pieces.
 	 */
 	record StartedOver() implements AnswerPart {
 
@@ -51,7 +51,7 @@
 	 * Tokens of a model's answer.
 	 *
 	 * @param fromOffset the offset of the first token
-	 * @param toOffset the offset behind the last token
+	 * @param toOffset the offset after the last token
 	 * @param text the tokens' text
 	 */
 	record Text(long fromOffset, long toOffset, String text) implements AnswerPart {
@@ -64,18 +64,18 @@
 	}
 
 	/**
-	 * The end of a model's whole answer.
+	 * The end of a complete model answer.
 	 *
-	 * @param tokens the answer's length
-	 * @param promptTokens the prompt's length
-	 * @param finishReason why the engine ended
+	 * @param tokens the number of tokens of the answer
+	 * @param promptTokens the number of tokens of the prompt
+	 * @param finishReason the reason that the engine reported
 	 */
 	record EndOfText(long tokens, int promptTokens, String finishReason) implements AnswerPart {
 
 	}
 
 	/**
-	 * The whole answer of a plain service.
+	 * The complete answer of a plain service.
 	 *
 	 * @param status the HTTP status
 	 * @param contentType the body's content type
@@ -91,31 +91,34 @@
 	 * A final error.
 	 *
 	 * @param kind the kind of error
-	 * @param detail what is wrong, for people
-	 * @param execution whether the call ran, where it is known better than the kind says
-	 * @param retryAfter when to come back, or {@code null} where that is useless
+	 * @param detail the error text for human readers
+	 * @param execution whether the call ran, which may be known more precisely than by
+	 * the kind
+	 * @param retryAfter the delay before a retry, or {@code null} if a retry is useless
 	 */
 	record Failure(ErrorKind kind, String detail, CallExecution execution,
 			@Nullable Duration retryAfter) implements AnswerPart {
 
 		/**
-		 * Creates a failure; a time to come back is dropped where the kind says that it
-		 * is useless, since callers and proxies obey it unasked.
+		 * Creates a failure. The retry delay is dropped if a retry of this kind of error
+		 * is useless, since clients and proxies retry automatically when one is given.
 		 * @param kind the kind of error
-		 * @param detail what is wrong, for people
-		 * @param execution whether the call ran, where it is known better than the kind
-		 * says
-		 * @param retryAfter when to come back, or {@code null} where that is useless
+		 * @param detail the error text for human readers
+		 * @param execution whether the call ran, which may be known more precisely than
+		 * by the kind
+		 * @param retryAfter the delay before a retry, or {@code null} if a retry is
+		 * useless
 		 */
 		public Failure {
 			retryAfter = (kind.repetition() != Repetition.USELESS) ? retryAfter : null;
 		}
 
 		/**
-		 * Creates a failure whose kind says whether the call ran.
+		 * Creates a failure whose kind determines whether the call ran.
 		 * @param kind the kind of error
-		 * @param detail what is wrong, for people
-		 * @param retryAfter when to come back, or {@code null} where that is useless
+		 * @param detail the error text for human readers
+		 * @param retryAfter the delay before a retry, or {@code null} if a retry is
+		 * useless
 		 */
 		public Failure(ErrorKind kind, String detail, @Nullable Duration retryAfter) {
 			this(kind, detail, kind.execution(), retryAfter);
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerSystem.java
@@ -16,7 +16,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Passes answers to the callers that wait for them, each from where it wants.
+ * Delivers answers to the callers that wait for them, each from the offset that it
+ * requested.
  */
 final class AnswerSystem {
 
@@ -35,9 +36,9 @@
 		this.counters = counters;
 	}
 
-	// Refuses a request that was never taken into the table.
-	void refuse(SubscriberId subscriber, AnswerPart.Failure failure) {
-		this.counters.refused(failure.kind());
+	// Rejects a request that was not added to the table.
+	void reject(SubscriberId subscriber, AnswerPart.Failure failure) {
+		this.counters.countFailure(failure.kind());
 		this.commands.accept(new EntryCommand.Deliver(subscriber, failure));
 	}
 
@@ -45,42 +46,44 @@
 		deliver(request, new AnswerPart.Accepted());
 	}
 
-	// Passes on new pieces. A request that was taken over goes on from its last copy, so
-	// a caller that came back may have seen some of them already.
-	void pieces(RequestEntity request, List<Piece> pieces) {
+	// Delivers new pieces. A request that was taken over resumes from its last
+	// copied state, so a caller that reconnected may already have received some of
+	// them.
+	void deliverPieces(RequestEntity request, List<Piece> pieces) {
 		AnswerBuffer answer = request.answer;
 		for (Map.Entry<SubscriberId, AnswerReader> subscriber : Map.copyOf(request.subscribers).entrySet()) {
 			AnswerReader reader = subscriber.getValue();
-			boolean joined = deliver(subscriber.getKey(), reader, pieces)
+			boolean contiguous = deliver(subscriber.getKey(), reader, pieces)
 					|| (answer != null && deliver(subscriber.getKey(), reader, answer.readFrom(reader.startOffset())));
-			if (!joined) {
+			if (!contiguous) {
 				request.subscribers.remove(subscriber.getKey());
-				cannotBeJoined(subscriber.getKey());
+				failNotContiguous(subscriber.getKey());
 			}
 		}
 	}
 
-	// Delivers what a caller has not seen yet. Returns whether the pieces could be joined
-	// to what it has seen.
+	// Delivers the pieces that a caller has not received yet. Returns whether they
+	// are contiguous with those that it has received.
 	boolean deliver(SubscriberId subscriber, AnswerReader reader, List<Piece> pieces) {
 		Invariant.check(pieces.isEmpty() || pieces.getFirst().fromOffset() <= reader.offset(),
-				"caller %s wants token %s next, got %s", subscriber, reader.offset(), pieces);
+				"caller %s expects token %s next, received %s", subscriber, reader.offset(), pieces);
 		long before = reader.offset();
-		List<Piece> taken = reader.take(pieces);
-		if (taken == null) {
+		List<Piece> newPieces = reader.take(pieces);
+		if (newPieces == null) {
 			return false;
 		}
-		if (!taken.isEmpty() && taken.getFirst().fromOffset() < before) {
+		if (!newPieces.isEmpty() && newPieces.getFirst().fromOffset() < before) {
 			deliver(subscriber, new AnswerPart.StartedOver());
 		}
-		taken.forEach((piece) -> deliver(subscriber,
+		newPieces.forEach((piece) -> deliver(subscriber,
 				new AnswerPart.Text(piece.fromOffset(), piece.toOffset(), piece.text())));
 		return true;
 	}
 
-	// Two processes cut the answer at other bounds, or wrote other texts. The caller gets
-	// a new reader when it comes back, which may start over.
-	void cannotBeJoined(SubscriberId subscriber) {
+	// Two processes split the answer at different offsets, or generated different
+	// texts. The caller gets a new reader when it reconnects, which may start again
+	// at the first token.
+	void failNotContiguous(SubscriberId subscriber) {
 		deliver(subscriber, new AnswerPart.Failure(ErrorKind.ANSWER_INCOMPLETE,
 				"the answer goes on at another bound; come back under its identifier", Duration.ZERO));
 	}
@@ -89,7 +92,7 @@
 		Instant now = this.clock.instant();
 		this.requests.end(request, last, now);
 		this.commands.accept(new EntryCommand.RecordSample(RequestSamples.of(request, last, now)));
-		this.counters.ended(last);
+		this.counters.countEnd(last);
 		deliver(request, last);
 	}
 
@@ -97,20 +100,20 @@
 		end(request, new AnswerPart.Failure(kind, detail, retryAfter));
 	}
 
-	void convicted(RequestEntity request) {
+	void failBlocked(RequestEntity request) {
 		fail(request, ErrorKind.REQUEST_CRASHES_ENDPOINTS, ErrorKind.REQUEST_CRASHES_ENDPOINTS.meaning(), null);
 	}
 
-	// Gives a caller that came back everything from the offset it wants. Another
-	// account's request is answered as unknown, so that identifiers can't be probed.
-	// Returns whether the request is known here.
-	boolean returned(EntryEvent.CallerReturned caller, AnswerReader reader) {
+	// Delivers an answer from the requested offset to a caller that reconnected. A
+	// request of another client account is reported as unknown, so that identifiers
+	// cannot be probed. Returns whether this entry has the request.
+	boolean callerReturned(EntryEvent.CallerReturned caller, AnswerReader reader) {
 		RequestEntity request = this.requests.find(caller.request());
 		if (request == null) {
 			return false;
 		}
 		if (!request.call.account().equals(caller.account())) {
-			unknown(caller);
+			failUnknown(caller);
 			return true;
 		}
 		SubscriberId subscriber = caller.subscriber();
@@ -118,10 +121,10 @@
 		AnswerBuffer answer = request.answer;
 		if (answer != null && !deliver(subscriber, reader, answer.readFrom(reader.offset()))
 				&& !deliver(subscriber, reader, answer.readFrom(reader.startOffset()))) {
-			cannotBeJoined(subscriber);
+			failNotContiguous(subscriber);
 			return true;
 		}
-		AnswerPart last = request.last;
+		AnswerPart last = request.finalPart;
 		if (last != null) {
 			deliver(subscriber, last);
 			return true;
@@ -130,8 +133,8 @@
 		return true;
 	}
 
-	void unknown(EntryEvent.CallerReturned caller) {
-		refuse(caller.subscriber(), new AnswerPart.Failure(ErrorKind.REQUEST_UNKNOWN,
+	void failUnknown(EntryEvent.CallerReturned caller) {
+		reject(caller.subscriber(), new AnswerPart.Failure(ErrorKind.REQUEST_UNKNOWN,
 				"no entry that answers knows request " + caller.request(), null));
 	}
 
@@ -139,7 +142,7 @@
 		this.commands.accept(new EntryCommand.Deliver(subscriber, part));
 	}
 
-	void left(EntryEvent.CallerLeft caller) {
+	void callerLeft(EntryEvent.CallerLeft caller) {
 		RequestEntity request = this.requests.find(caller.request());
 		if (request != null) {
 			request.subscribers.remove(caller.subscriber());
@@ -151,8 +154,8 @@
 	}
 
 	private void deliver(RequestEntity request, AnswerPart part) {
-		Invariant.check(request.last == null || request.last == part, "request %s got a part after its end",
-				request.id());
+		Invariant.check(request.finalPart == null || request.finalPart == part,
+				"answer of request %s received a part after its end", request.id());
 		for (SubscriberId subscriber : request.subscribers.keySet()) {
 			deliver(subscriber, part);
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptRequest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptRequest.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What one attempt sends to an endpoint.
+ * The request that an attempt sends to an endpoint.
  */
 public sealed interface AttemptRequest {
 
@@ -15,7 +15,7 @@
 	 * @param path the path with its query
 	 * @param contentType the body's content type
 	 * @param body the body
-	 * @param idempotencyKey the key passed on to the service, or {@code null}
+	 * @param idempotencyKey the key forwarded to the service, or {@code null}
 	 * @param atMostOnce whether the call must not reach the service twice
 	 */
 	record PlainCall(String method, String path, String contentType, Body body, @Nullable String idempotencyKey,
@@ -24,7 +24,7 @@
 	}
 
 	/**
-	 * A model request from its beginning.
+	 * A model request that generates its answer from the first token.
 	 *
 	 * @param body the chat request
 	 * @param priority the priority, 0 the most urgent
@@ -34,20 +34,20 @@
 	}
 
 	/**
-	 * The rest of a stream that the same engine is still running.
+	 * The remaining tokens of a stream that the same engine is still running.
 	 *
-	 * @param fromOffset the offset of the first token wanted
+	 * @param fromOffset the offset of the first requested token
 	 */
 	record Reattach(long fromOffset) implements AttemptRequest {
 
 	}
 
 	/**
-	 * The rest of an answer that another engine began.
+	 * The remaining tokens of an answer that another engine started.
 	 *
 	 * @param body the chat request
 	 * @param priority the priority, 0 the most urgent
-	 * @param fromOffset the offset of the first token wanted
+	 * @param fromOffset the offset of the first requested token
 	 * @param text the text of the tokens before it
 	 */
 	record Continue(Body body, int priority, long fromOffset, String text) implements AttemptRequest {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptResult.java
@@ -3,12 +3,12 @@
 import org.banyancove.core.Body;
 
 /**
- * How one attempt at an endpoint ended.
+ * The result of an attempt at an endpoint.
  */
 public sealed interface AttemptResult {
 
 	/**
-	 * A plain service answered.
+	 * The endpoint sent an HTTP response.
 	 *
 	 * @param status the HTTP status
 	 * @param contentType the body's content type
@@ -19,39 +19,40 @@
 	}
 
 	/**
-	 * An engine's stream came to its end.
+	 * The stream of an engine is complete.
 	 *
-	 * @param totalTokens the answer's length, counted from its beginning
-	 * @param finishReason why the engine ended
-	 * @param recomputedTokens the tokens the engine computed again for this attempt
+	 * @param totalTokens the number of tokens of the complete answer
+	 * @param finishReason the reason that the engine reported
+	 * @param recomputedTokens the number of tokens that the engine recomputed for this
+	 * attempt
 	 */
 	record StreamEnded(long totalTokens, String finishReason, long recomputedTokens) implements AttemptResult {
 
 	}
 
 	/**
-	 * The endpoint refused before it did anything.
+	 * The endpoint rejected the request without processing it.
 	 *
 	 * @param status the HTTP status
-	 * @param detail what it said
+	 * @param detail the error reported by the endpoint
 	 */
 	record Refused(int status, String detail) implements AttemptResult {
 
 	}
 
 	/**
-	 * The request's body was surely never sent.
+	 * The request's body was provably never sent.
 	 *
-	 * @param detail what went wrong
+	 * @param detail the cause
 	 */
 	record NeverSent(String detail) implements AttemptResult {
 
 	}
 
 	/**
-	 * The connection broke or went silent after the request was sent.
+	 * The connection failed or timed out after the request was sent.
 	 *
-	 * @param detail what went wrong
+	 * @param detail the cause
 	 */
 	record Broken(String detail) implements AttemptResult {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptSystem.java
@@ -33,12 +33,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Places requests on endpoints, starts their attempts and keeps count of how they end.
+ * Places requests on endpoints, starts their attempts and records how they end.
  */
 final class AttemptSystem {
 
-	/** No request of the service was ever sent, so nothing is known of its pace. */
-	private static final Duration COME_BACK_TO_UNKNOWN = Duration.ofSeconds(1);
+	/**
+	 * Applies until a request of the service has been sent, since its response times are
+	 * unknown until then.
+	 */
+	private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
 	private final EndpointTable endpoints;
 
@@ -58,7 +61,7 @@
 
 	private final Map<ServiceName, Profile> profiles = new HashMap<>();
 
-	private final Map<EndpointId, EndpointLoad> sent = new HashMap<>();
+	private final Map<EndpointId, EndpointLoad> sentLoads = new HashMap<>();
 
 	AttemptSystem(EndpointTable endpoints, PlacementSystem placement, SuspectSystem suspects, InstantSource clock,
 			Consumer<EntryCommand> commands, EntryCounters counters, DataCenterName dataCenter) {
@@ -72,57 +75,59 @@
 		this.dataCenter = dataCenter;
 	}
 
-	// Decides where a request's next attempt runs; starts nothing.
-	Placing place(RequestEntity request) {
+	// Selects the endpoint of a request's next attempt, without starting it.
+	AttemptPlacement place(RequestEntity request) {
 		return switch (this.suspects.mayStart(request.fingerprint)) {
 			case SuspectDecision.NotSuspect _ -> place(request, Set.of());
 			case SuspectDecision.RunApart apart -> place(request, apart.excluded());
-			case SuspectDecision.Wait wait -> new Placing.Later(wait.retryAfter());
-			case SuspectDecision.Refused _ -> new Placing.Convicted();
+			case SuspectDecision.Wait wait -> new AttemptPlacement.Deferred(wait.retryAfter());
+			case SuspectDecision.Refused _ -> new AttemptPlacement.Blocked();
 		};
 	}
 
-	// Starts an attempt. The attempt before it, if it still runs elsewhere, ends here.
+	// Starts an attempt. Ends the request's previous attempt if that is still
+	// running.
 	void start(RequestEntity request, EndpointId id, int attempt, AttemptRequest content) {
-		Invariant.check(!request.excluded.contains(id), "request %s goes back to %s, which failed it", request.id(),
-				id);
+		Invariant.check(!request.excluded.contains(id),
+				"request %s is sent again to endpoint %s, which failed it before", request.id(), id);
 		Endpoint endpoint = this.endpoints.find(id).orElse(null);
 		if (endpoint == null) {
-			fail(request, attempt, content);
+			failAttempt(request, attempt, content);
 			return;
 		}
-		ended(request, request.outcome);
-		request.timesSent++;
+		endAttempt(request, request.outcome);
+		request.sendCount++;
 		if (request.attempt == 0) {
 			this.retries.firstAttempt(request.service.name(), request.profile);
 		}
 		this.profiles.put(request.service.name(), request.profile);
 		this.endpoints.attemptStarted(placedAt(request, id), placementRequest(request, Set.of()), this.clock.instant());
 		this.suspects.started(request.id(), request.fingerprint, id);
-		countSent(request, id);
+		recordSent(request, id);
 		request.endpoint = id;
-		send(request, id, endpoint.definition().address(), attempt, content);
+		sendAttempt(request, id, endpoint.definition().address(), attempt, content);
 	}
 
-	// Asks the engine that runs a request's stream for the rest over a new connection.
+	// Requests the remaining tokens of a stream from the engine that runs it over a
+	// new connection.
 	void reattach(RequestEntity request, EndpointId id, int attempt, long fromOffset) {
 		String address = address(id);
 		AttemptRequest content = new AttemptRequest.Reattach(fromOffset);
 		if (address == null) {
-			fail(request, attempt, content);
+			failAttempt(request, attempt, content);
 			return;
 		}
 		request.endpoint = id;
-		send(request, id, address, attempt, content);
+		sendAttempt(request, id, address, attempt, content);
 	}
 
-	// Counts an attempt that another entry began at an endpoint as this entry's own.
-	void adopted(RequestEntity request, EndpointId id) {
+	// Accounts for an attempt that another entry started as one of this entry.
+	void adopt(RequestEntity request, EndpointId id) {
 		if (this.endpoints.find(id).isPresent()) {
 			this.endpoints.attemptStarted(placedAt(request, id), placementRequest(request, Set.of()),
 					this.clock.instant());
-			// A suspect that was moved here with its stream is not sent again, so the
-			// rule that suspects run apart is the former owner's to keep.
+			// A suspect request that was handed over with its stream is not sent
+			// again, so its former owner was responsible for isolating it.
 			if (this.suspects.mayStart(request.fingerprint) instanceof SuspectDecision.NotSuspect) {
 				this.suspects.started(request.id(), request.fingerprint, id);
 			}
@@ -134,34 +139,37 @@
 		return this.endpoints.find(id).map((endpoint) -> endpoint.definition().address()).orElse(null);
 	}
 
-	// Takes what was sent to endpoints since the last call, for the peers.
-	List<EndpointLoad> takeSent() {
-		List<EndpointLoad> taken = new ArrayList<>(this.sent.values());
-		this.sent.clear();
-		return taken;
+	// Returns and resets the load that was sent to each endpoint since the last
+	// call, for the peers.
+	List<EndpointLoad> drainSentLoads() {
+		List<EndpointLoad> drained = new ArrayList<>(this.sentLoads.values());
+		this.sentLoads.clear();
+		return drained;
 	}
 
-	// Returns when a caller should come back whose request no endpoint could finish.
-	Duration untilAnyEndpoint(ServiceName service) {
+	// Returns the retry delay for a caller whose request no endpoint could
+	// complete.
+	Duration retryAfterNoEndpoint(ServiceName service) {
 		Profile profile = this.profiles.get(service);
 		if (profile == null) {
-			return COME_BACK_TO_UNKNOWN;
+			return DEFAULT_RETRY_AFTER;
 		}
 		return this.endpoints.untilAnyEndpoint(service, profile, this.clock.instant());
 	}
 
-	// Decides whether a request whose attempt failed is tried again, under the retry
-	// budget of its service. What a lost endpoint ran is sent again beyond the budget: it
-	// was accepted, and where a service has few calls there is no budget to speak of.
+	// Decides whether to retry a request whose attempt failed, under the retry
+	// budget of its service. Requests of a lost endpoint are retried regardless of
+	// the budget: they were accepted, and a service with few calls earns almost no
+	// budget.
 	RetryDecision retry(RequestEntity request, boolean provedNotRun) {
 		return this.retries.decide(new RetryRequest(request.service.name(), request.profile, request.mayRepeat(),
-				provedNotRun, request.outcome == AttemptOutcome.LOST, request.excluded, Math.max(1, request.timesSent),
+				provedNotRun, request.outcome == AttemptOutcome.LOST, request.excluded, Math.max(1, request.sendCount),
 				request.arrivedAt));
 	}
 
-	// Counts the end of the current attempt, and keeps a request from an endpoint that
-	// failed it.
-	void ended(RequestEntity request, AttemptOutcome outcome) {
+	// Records the end of the current attempt, and excludes an endpoint that failed
+	// the request from its further attempts.
+	void endAttempt(RequestEntity request, AttemptOutcome outcome) {
 		EndpointId endpoint = request.endpoint;
 		if (endpoint == null) {
 			return;
@@ -174,17 +182,17 @@
 		request.endpoint = null;
 	}
 
-	// Takes an endpoint that can't be reached out of service. What ran there may have
-	// crashed it.
-	void lost(RequestEntity request) {
+	// Removes an unreachable endpoint from service. The requests that ran there
+	// become suspects, since one of them may have crashed it.
+	void markEndpointGone(RequestEntity request) {
 		EndpointId id = request.endpoint;
 		if (id == null) {
 			return;
 		}
-		this.endpoints.find(id).map(Endpoint::definition).ifPresent(this::lost);
+		this.endpoints.find(id).map(Endpoint::definition).ifPresent(this::markGone);
 	}
 
-	// Drops the connection of the current attempt.
+	// Closes the connection of the current attempt.
 	void cancel(RequestEntity request) {
 		EndpointId endpoint = request.endpoint;
 		if (endpoint != null) {
@@ -192,48 +200,51 @@
 		}
 	}
 
-	void firstToken(RequestEntity request) {
+	void firstTokenReceived(RequestEntity request) {
 		EndpointId endpoint = request.endpoint;
 		if (endpoint != null) {
 			this.endpoints.firstTokenSeen(endpoint, request.id(), this.clock.instant());
 		}
 	}
 
-	void tokens(RequestEntity request, int count) {
+	void tokensReceived(RequestEntity request, int count) {
 		EndpointId endpoint = request.endpoint;
 		if (endpoint != null) {
 			this.endpoints.tokensSeen(endpoint, request.id(), count, this.clock.instant());
 		}
 	}
 
-	private Placing place(RequestEntity request, Set<EndpointId> apartFrom) {
-		return switch (this.placement.place(placementRequest(request, apartFrom))) {
+	private AttemptPlacement place(RequestEntity request, Set<EndpointId> isolatedFrom) {
+		return switch (this.placement.place(placementRequest(request, isolatedFrom))) {
 			case PlacementDecision.Placed placed -> {
 				request.placed = placed;
-				yield new Placing.Ready(placed);
+				yield new AttemptPlacement.Ready(placed);
 			}
-			case PlacementDecision.Refused refused -> new Placing.Refused(refused.kind(), refused.retryAfter());
+			case PlacementDecision.Refused refused ->
+				new AttemptPlacement.Refused(refused.kind(), refused.retryAfter());
 		};
 	}
 
-	private void lost(EndpointDefinition endpoint) {
+	private void markGone(EndpointDefinition endpoint) {
 		this.suspects.endpointLost(endpoint.id(), endpoint.vm(), endpoint.zone());
 		this.endpoints.markGone(endpoint.id(), this.clock.instant());
 	}
 
-	private void send(RequestEntity request, EndpointId endpoint, String address, int attempt, AttemptRequest content) {
+	private void sendAttempt(RequestEntity request, EndpointId endpoint, String address, int attempt,
+			AttemptRequest content) {
 		request.attempt = attempt;
-		request.content = content;
+		request.attemptRequest = content;
 		request.phase = RequestPhase.RUNNING;
-		this.counters.attempt(attempt);
+		this.counters.countAttempt(attempt);
 		this.commands.accept(new EntryCommand.StartAttempt(request.id(), attempt, endpoint, address, content));
 	}
 
-	// Ends an attempt at an endpoint that is not known any longer as one that could not
-	// connect: a command to itself, since the stream's own step is not over yet.
-	private void fail(RequestEntity request, int attempt, AttemptRequest content) {
+	// Fails an attempt at an endpoint that has been removed as one that could not
+	// connect. It does so by a command to this entry, since the current step of the
+	// stream is not complete yet.
+	private void failAttempt(RequestEntity request, int attempt, AttemptRequest content) {
 		request.attempt = attempt;
-		request.content = content;
+		request.attemptRequest = content;
 		this.commands.accept(new EntryCommand.FailAttempt(request.id(), attempt));
 	}
 
@@ -246,21 +257,21 @@
 		return new PlacementDecision.Placed(id, Duration.ZERO, Duration.ZERO, (prompt != null) ? prompt.tokens() : 0);
 	}
 
-	private void countSent(RequestEntity request, EndpointId id) {
+	private void recordSent(RequestEntity request, EndpointId id) {
 		Prompt prompt = request.call.prompt();
 		long tokens = (prompt != null) ? prompt.tokens() + prompt.maximumTokens() : 1;
-		this.sent.merge(id, new EndpointLoad(id, 1, tokens), (first, second) -> new EndpointLoad(id,
+		this.sentLoads.merge(id, new EndpointLoad(id, 1, tokens), (first, second) -> new EndpointLoad(id,
 				first.requests() + second.requests(), first.tokens() + second.tokens()));
 	}
 
-	private PlacementRequest placementRequest(RequestEntity request, Set<EndpointId> apartFrom) {
+	private PlacementRequest placementRequest(RequestEntity request, Set<EndpointId> isolatedFrom) {
 		Call call = request.call;
 		Prompt prompt = call.prompt();
 		List<PromptPrefix> prefixes = (prompt != null) ? prompt.prefixes() : List.of();
 		int promptTokens = (prompt != null) ? prompt.tokens() : 0;
 		int outputTokens = (prompt != null) ? prompt.maximumTokens() : 0;
 		Set<EndpointId> excluded = new HashSet<>(request.excluded);
-		excluded.addAll(apartFrom);
+		excluded.addAll(isolatedFrom);
 		return new PlacementRequest(request.id(), call.account(), call.service(), request.profile, prefixes,
 				promptTokens, outputTokens, excluded, request.arrivedAt, Optional.of(this.dataCenter));
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/Call.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/Call.java
@@ -7,13 +7,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A caller's request as it arrived.
+ * A request as received from a caller.
  *
  * @param id the identifier that every answer carries
  * @param account the caller's account
  * @param service the service that is called
  * @param method the HTTP method, in upper case
- * @param path the path behind the service's name, with its query
+ * @param path the path after the service's name, with its query
  * @param contentType the body's content type
  * @param body the body
  * @param idempotencyKey the caller's idempotency key, or {@code null}
@@ -23,7 +23,8 @@
 		String contentType, Body body, @Nullable String idempotencyKey, @Nullable Prompt prompt) {
 
 	/**
-	 * Returns what tells this call's content from any other's: equal for a repeat.
+	 * Returns a digest that identifies the content of this call and is equal for a
+	 * repeat.
 	 * @return the digest in hexadecimal
 	 */
 	public String fingerprint() {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ConfigurationSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ConfigurationSystem.java
@@ -24,28 +24,31 @@
 import org.banyancove.core.profile.ProfileView;
 
 /**
- * Keeps the profiles true to the log, read from the platform where {@link ProfileReaders}
- * says so, else or while that is cut off told by another entry that is further on.
+ * Keeps the profiles up to date with the log. They are read from the platform if
+ * {@link ProfileReaders} selects this entry, and otherwise, or while the platform is
+ * unreachable, received from another entry with a higher offset.
  * <p>
- * Failure: a data center that cannot reach the platform misses a change that is in force
- * everywhere else. Its entries see in heartbeats that a peer's offset is higher and ask
- * that peer for the records. That is enough: records are folded in the log's order
- * whoever brings them, and the table never takes a lower offset.
+ * Failure: a data center that cannot reach the platform misses a change that is effective
+ * everywhere else. Its entries detect from heartbeats that a peer has a higher offset and
+ * request the records from that peer. This is sufficient, since records are applied in
+ * the order of the log whatever their source, and the table never accepts a lower offset.
  */
 final class ConfigurationSystem {
 
 	private static final String STREAM = "profiles";
 
-	/** Relays under this name come from an entry that has just read to the log's end. */
+	/**
+	 * The stream name of relays from an entry that has just read to the end of the log.
+	 */
 	private static final String READ_TO_END = "profiles-read-to-end";
 
 	private static final String STATE = "state";
 
-	private static final int RECORDS_KEPT = 1024;
+	private static final int MAXIMUM_RECENT_RECORDS = 1024;
 
-	private static final int RECORDS_PER_MESSAGE = 64;
+	private static final int MAXIMUM_RECORDS_PER_MESSAGE = 64;
 
-	private static final Duration ASK_INTERVAL = Duration.ofMillis(500);
+	private static final Duration REQUEST_INTERVAL = Duration.ofMillis(500);
 
 	private final Incarnation self;
 
@@ -67,9 +70,9 @@
 
 	private final Consumer<EntryCommand> commands;
 
-	private Instant nextAsk = Instant.MIN;
+	private Instant nextRequestAt = Instant.MIN;
 
-	private boolean reads;
+	private boolean reading;
 
 	ConfigurationSystem(Incarnation self, PeerTable peers, PeerPort port, ProfileEntryText text,
 			CheckpointSchedule checkpoints, ProfileReaders readers, InstantSource clock,
@@ -92,21 +95,21 @@
 		return this.view.isStarted() ? this.view.table().nextOffset() : -1;
 	}
 
-	// Takes a page that this entry read from the log.
-	void read(ProfilePage page) {
+	// Applies a page that this entry read from the log.
+	void pageRead(ProfilePage page) {
 		long before = this.view.table().nextOffset();
-		take(page);
+		apply(page);
 		if (offset() >= page.endOffset()) {
-			tellFollowers(before);
+			notifyFollowers(before);
 		}
 	}
 
-	// Starts or stops reading, and writes a checkpoint well before the log trims the
-	// records that it stands for.
+	// Starts or stops reading, and appends a checkpoint well before the log trims
+	// the records that it replaces.
 	void tick() {
-		boolean wanted = this.readers.reads();
-		if (wanted != this.reads) {
-			this.reads = wanted;
+		boolean wanted = this.readers.shouldRead();
+		if (wanted != this.reading) {
+			this.reading = wanted;
 			this.commands.accept(wanted ? new EntryCommand.ReadProfiles(this.view.nextOffset())
 					: new EntryCommand.StopReadingProfiles());
 		}
@@ -116,49 +119,50 @@
 		}
 	}
 
-	// Asks a peer that is further on.
-	void heard(PeerMessage.Heartbeat heartbeat) {
+	// Requests records from a peer with a higher offset.
+	void heartbeatReceived(PeerMessage.Heartbeat heartbeat) {
 		Instant now = this.clock.instant();
-		if (heartbeat.configurationOffset() <= offset() || now.isBefore(this.nextAsk)) {
+		if (heartbeat.configurationOffset() <= offset() || now.isBefore(this.nextRequestAt)) {
 			return;
 		}
-		ask(heartbeat.from(), now);
+		requestRecords(heartbeat.from(), now);
 	}
 
-	void requested(PeerMessage.LogRecordsRequest request) {
+	void recordsRequested(PeerMessage.LogRecordsRequest request) {
 		PeerState peer = this.peers.find(request.from());
 		if (peer == null || !request.stream().equals(STREAM) || request.fromOffset() >= offset()) {
 			return;
 		}
 		this.port.send(peer.address(), new PeerMessage.LogRecordsRelay(this.self, STREAM, request.fromOffset(),
-				offset(), records(request.fromOffset(), Math.min(request.limit(), RECORDS_PER_MESSAGE))));
+				offset(), records(request.fromOffset(), Math.min(request.limit(), MAXIMUM_RECORDS_PER_MESSAGE))));
 	}
 
-	void relayed(PeerMessage.LogRecordsRelay relay) {
+	void recordsRelayed(PeerMessage.LogRecordsRelay relay) {
 		boolean readToEnd = relay.stream().equals(READ_TO_END);
 		if (!readToEnd && !relay.stream().equals(STREAM)) {
 			return;
 		}
 		if (relay.firstRetained() <= this.view.table().nextOffset()) {
-			take(relay);
-			this.nextAsk = this.clock.instant();
+			apply(relay);
+			this.nextRequestAt = this.clock.instant();
 		}
 		if (readToEnd) {
-			toldOfEnd(relay);
+			endRelayed(relay);
 		}
 	}
 
-	// Only one who knows all that the reader knows may leave the reading to it.
-	private void toldOfEnd(PeerMessage.LogRecordsRelay relay) {
+	// Only an entry that has applied all records of the reader may rely on it for
+	// reading.
+	private void endRelayed(PeerMessage.LogRecordsRelay relay) {
 		if (relay.endOffset() <= offset()) {
-			this.readers.told();
+			this.readers.endReported();
 		}
 		else {
-			ask(relay.from(), this.clock.instant());
+			requestRecords(relay.from(), this.clock.instant());
 		}
 	}
 
-	private void take(PeerMessage.LogRecordsRelay relay) {
+	private void apply(PeerMessage.LogRecordsRelay relay) {
 		List<ProfileEntry> entries = new ArrayList<>();
 		for (PeerLogRecord record : relay.records()) {
 			if (record.id().equals(STATE)) {
@@ -170,41 +174,42 @@
 			}
 		}
 		if (!entries.isEmpty()) {
-			take(new ProfilePage(entries.getFirst().offset(), entries.getLast().offset() + 1, entries));
+			apply(new ProfilePage(entries.getFirst().offset(), entries.getLast().offset() + 1, entries));
 		}
 	}
 
-	private void take(ProfilePage page) {
+	private void apply(ProfilePage page) {
 		long before = this.view.table().nextOffset();
 		this.view.read(page);
-		page.entries().stream().filter((entry) -> entry.offset() >= before).forEach(this::keep);
+		page.entries().stream().filter((entry) -> entry.offset() >= before).forEach(this::retain);
 	}
 
-	private void tellFollowers(long before) {
+	private void notifyFollowers(long before) {
 		List<PeerState> followers = this.readers.followers();
 		if (followers.isEmpty()) {
 			return;
 		}
-		PeerMessage.LogRecordsRelay relay = isFewSince(before)
+		PeerMessage.LogRecordsRelay relay = fitsInOneMessage(before)
 				? new PeerMessage.LogRecordsRelay(this.self, READ_TO_END, before, offset(),
-						records(before, RECORDS_PER_MESSAGE))
+						records(before, MAXIMUM_RECORDS_PER_MESSAGE))
 				: new PeerMessage.LogRecordsRelay(this.self, READ_TO_END, offset(), offset(), List.of());
 		followers.forEach((follower) -> this.port.send(follower.address(), relay));
 	}
 
-	// A reader that has only just started reads a whole stream that its followers know.
-	private boolean isFewSince(long before) {
+	// A reader that has just started reads the complete stream, which its followers
+	// already have.
+	private boolean fitsInOneMessage(long before) {
 		ProfileEntry oldest = this.recent.peekFirst();
-		return before < offset() && offset() - before <= RECORDS_PER_MESSAGE && oldest != null
+		return before < offset() && offset() - before <= MAXIMUM_RECORDS_PER_MESSAGE && oldest != null
 				&& oldest.offset() <= before;
 	}
 
-	private void ask(Incarnation from, Instant now) {
+	private void requestRecords(Incarnation from, Instant now) {
 		PeerState peer = this.peers.find(from);
 		if (peer != null) {
-			this.nextAsk = now.plus(ASK_INTERVAL);
+			this.nextRequestAt = now.plus(REQUEST_INTERVAL);
 			this.port.send(peer.address(), new PeerMessage.LogRecordsRequest(this.self, STREAM,
-					this.view.table().nextOffset(), RECORDS_PER_MESSAGE));
+					this.view.table().nextOffset(), MAXIMUM_RECORDS_PER_MESSAGE));
 		}
 	}
 
@@ -229,13 +234,13 @@
 			.toList();
 	}
 
-	private void keep(ProfileEntry entry) {
+	private void retain(ProfileEntry entry) {
 		ProfileEntry last = this.recent.peekLast();
 		if (last != null && entry.offset() != last.offset() + 1) {
 			this.recent.clear();
 		}
 		this.recent.addLast(entry);
-		if (this.recent.size() > RECORDS_KEPT) {
+		if (this.recent.size() > MAXIMUM_RECENT_RECORDS) {
 			this.recent.removeFirst();
 		}
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EndpointSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EndpointSystem.java
@@ -17,8 +17,8 @@
 import org.banyancove.core.suspect.SuspectSystem;
 
 /**
- * Keeps the table of endpoints true to what the platform says: its list, which lags, and
- * its notices, which do not.
+ * Updates the table of endpoints from the platform's list, which lags, and from its
+ * reclaim notices, which do not.
  */
 final class EndpointSystem {
 
@@ -32,7 +32,7 @@
 
 	private final Set<EndpointId> leaving = new HashSet<>();
 
-	private final List<Leaving> news = new ArrayList<>();
+	private final List<LeavingVm> leavingVms = new ArrayList<>();
 
 	EndpointSystem(EndpointTable endpoints, SuspectSystem suspects, InstantSource clock) {
 		this.endpoints = endpoints;
@@ -40,20 +40,22 @@
 		this.clock = clock;
 	}
 
-	// Takes a list. A leaving VM in it counts at once; a VM that is missing is gone,
-	// since the list lags behind starts but never forgets a live VM.
-	void listed(EntryEvent.VmsListed list) {
+	// Applies a list. A leaving VM on the list is marked at once. A VM missing from
+	// the list is gone, since the list may lack a VM that just started but never
+	// drops a live one.
+	void applyList(EntryEvent.VmsListed list) {
 		Set<EndpointId> listedIds = new HashSet<>();
 		for (EndpointDefinition definition : list.live()) {
 			listedIds.add(definition.id());
 		}
 		this.endpoints.listed(list.live(), list.asOf());
-		list.leaving().forEach(this::announced);
+		list.leaving().forEach(this::applyNotice);
 		removeMissing(listedIds);
 	}
 
-	// Takes a notice: the VM's endpoints get no new work from this moment on.
-	void announced(EntryEvent.ReclaimNotice notice) {
+	// Applies a reclaim notice: the VM's endpoints receive no new requests from now
+	// on.
+	void applyNotice(EntryEvent.ReclaimNotice notice) {
 		boolean first = this.notices.putIfAbsent(notice.vm(), notice.reclaimAt()) == null;
 		List<EndpointId> onVm = List.copyOf(this.endpoints.onVm(notice.vm()));
 		boolean newEndpoints = this.leaving.addAll(onVm);
@@ -65,7 +67,7 @@
 			this.suspects.noticeSeen(notice.vm(), zone);
 		}
 		this.endpoints.markLeaving(notice.vm(), notice.reclaimAt(), this.clock.instant());
-		this.news.add(new Leaving(notice.vm(), onVm, notice.reclaimAt()));
+		this.leavingVms.add(new LeavingVm(notice.vm(), onVm, notice.reclaimAt()));
 	}
 
 	boolean isLeaving(VmId vm) {
@@ -76,11 +78,11 @@
 		return List.copyOf(this.leaving);
 	}
 
-	// Takes the notices that came in since the last call.
-	List<Leaving> takeNews() {
-		List<Leaving> taken = List.copyOf(this.news);
-		this.news.clear();
-		return taken;
+	// Returns and clears the VMs whose reclaim was announced since the last call.
+	List<LeavingVm> drainLeavingVms() {
+		List<LeavingVm> drained = List.copyOf(this.leavingVms);
+		this.leavingVms.clear();
+		return drained;
 	}
 
 	private void removeMissing(Set<EndpointId> listedIds) {
@@ -101,10 +103,10 @@
 	 * A VM that is about to be reclaimed.
 	 *
 	 * @param vm the VM
-	 * @param endpoints the endpoints on it
-	 * @param reclaimAt when it goes
+	 * @param endpoints the endpoints on the VM
+	 * @param reclaimAt the time of the reclaim
 	 */
-	record Leaving(VmId vm, List<EndpointId> endpoints, Instant reclaimAt) {
+	record LeavingVm(VmId vm, List<EndpointId> endpoints, Instant reclaimAt) {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCommand.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCommand.java
@@ -12,12 +12,12 @@
 import org.banyancove.core.profile.ProfileRecord;
 
 /**
- * Something that the core wants done outside.
+ * A command of the core to the components around it.
  */
 public sealed interface EntryCommand {
 
 	/**
-	 * Passes a part of an answer to a caller.
+	 * Delivers a part of an answer to a caller.
 	 *
 	 * @param subscriber the caller's connection
 	 * @param part the part
@@ -33,7 +33,7 @@
 	 * @param attempt the attempt's number
 	 * @param endpoint the endpoint
 	 * @param address the endpoint's address
-	 * @param content what is sent
+	 * @param content the request to send
 	 */
 	record StartAttempt(RequestId request, int attempt, EndpointId endpoint, String address,
 			AttemptRequest content) implements EntryCommand {
@@ -41,8 +41,8 @@
 	}
 
 	/**
-	 * Ends an attempt that cannot be started, as one that could not connect, after the
-	 * event at hand.
+	 * Ends an attempt that cannot be started as one that could not connect, after the
+	 * current event has been handled.
 	 *
 	 * @param request the request
 	 * @param attempt the attempt's number
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Drops the connection of an attempt, so that the endpoint's next request gets a new
+	 * Closes the connection of an attempt, so that the endpoint's next request uses a new
 	 * one.
 	 *
 	 * @param request the request
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Tells an engine that nobody wants a stream any longer.
+	 * Cancels a stream at its engine.
 	 *
 	 * @param request the request
 	 * @param endpoint the engine
@@ -79,9 +79,9 @@
 	 * {@link EntryEvent.CacheMoved} follows.
 	 *
 	 * @param request the request
-	 * @param source the address of the engine that has it
-	 * @param target the engine that imports it
-	 * @param targetAddress the address of that engine
+	 * @param source the address of the engine that has the cache
+	 * @param target the engine that imports the cache
+	 * @param targetAddress the address of the importing engine
 	 */
 	record MoveCache(RequestId request, String source, EndpointId target,
 			String targetAddress) implements EntryCommand {
@@ -99,33 +99,34 @@
 	}
 
 	/**
-	 * Records how a request ended, for the report on service-level burn.
+	 * Records how a request ended, for the error budget report.
 	 *
-	 * @param sample the request
+	 * @param sample the sample of the request
 	 */
 	record RecordSample(RequestSample sample) implements EntryCommand {
 
 	}
 
 	/**
-	 * Reads the profiles' stream until told to stop.
+	 * Reads the profiles' stream until {@link StopReadingProfiles}.
 	 *
-	 * @param fromOffset the offset to begin at
+	 * @param fromOffset the offset of the first record to read
 	 */
 	record ReadProfiles(long fromOffset) implements EntryCommand {
 
 	}
 
 	/**
-	 * Stops reading the profiles' stream. A page that is on its way still counts.
+	 * Stops reading the profiles' stream. A page that is already being read is still
+	 * applied.
 	 */
 	record StopReadingProfiles() implements EntryCommand {
 
 	}
 
 	/**
-	 * Appends a checkpoint to the profiles' stream. Nobody waits for its answer: the
-	 * stream itself shows whether it is there.
+	 * Appends a checkpoint to the profiles' stream. The result of the append is not
+	 * reported, since the stream itself shows whether the checkpoint was written.
 	 *
 	 * @param checkpoint the checkpoint
 	 */
@@ -134,10 +135,10 @@
 	}
 
 	/**
-	 * Appends records of a key slot to the log, all or none.
+	 * Appends records of a key slot to the log atomically.
 	 *
 	 * @param slot the slot
-	 * @param append identifies the append in its answer
+	 * @param append the identifier of the append in its result
 	 * @param records the records
 	 */
 	record AppendToLog(KeySlot slot, AppendId append, List<LedgerRecord> records) implements EntryCommand {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCore.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCore.java
@@ -43,14 +43,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * All decisions of one entry: takes events, changes its tables and gives commands.
+ * The decision logic of one entry: handles events, updates its tables and issues
+ * commands.
  * <p>
- * Not safe for use by several threads: the tick loop owns it. The same events, clock and
- * random numbers give the same commands.
+ * Not thread-safe: it is confined to the thread of the tick loop. Deterministic: the same
+ * events, times and random numbers yield the same commands.
  */
 public final class EntryCore {
 
-	/** A fresh reader folds this many changes in a few milliseconds. */
+	/** An entry that starts applies this many changes in a few milliseconds. */
 	private static final int CHANGES_PER_CHECKPOINT = 2048;
 
 	private final EntryCounters counters = new EntryCounters();
@@ -79,7 +80,7 @@
 
 	private final MembershipSystem membership;
 
-	private final FetchSystem fetches;
+	private final AnswerFetchSystem fetches;
 
 	private final PeerSystem peerSystem;
 
@@ -87,7 +88,7 @@
 
 	private final PlainCallSystem plainCalls;
 
-	private final AdmissionFlow admission;
+	private final RequestAdmission admission;
 
 	private final IntakeSystem intake;
 
@@ -101,12 +102,12 @@
 
 	/**
 	 * Creates the core of an entry.
-	 * @param identity who and where the entry is
+	 * @param identity the process, location and address of the entry
 	 * @param settings the limits of its tables
-	 * @param text writes the profiles' records for other entries
+	 * @param text the codec of the profiles' records for other entries
 	 * @param clock the clock
 	 * @param random the source of all random choices
-	 * @param commands takes what is to be done
+	 * @param commands the consumer that executes the commands
 	 */
 	public EntryCore(EntryIdentity identity, EntrySettings settings, ProfileEntryText text, InstantSource clock,
 			RandomGenerator random, Consumer<EntryCommand> commands) {
@@ -135,12 +136,13 @@
 		this.modelCalls = new ModelCallSystem(this.requests, attempts, this.answers, holds, settings.streams(), clock,
 				commands, this.counters);
 		this.plainCalls = new PlainCallSystem(this.requests, attempts, this.answers, this.claims, holds);
-		this.fetches = new FetchSystem(incarnation, this.peers, this.handover, this.holds, port, this.answers, clock);
+		this.fetches = new AnswerFetchSystem(incarnation, this.peers, this.handover, this.holds, port, this.answers,
+				clock);
 		this.peerSystem = new PeerSystem(this.endpoints, this.endpointSystem, this.suspects, this.configuration,
 				attempts, this.claims, this.handover, settings.claims().slots(), clock);
 		this.membership = new MembershipSystem(self, this.peers, clock, settings.membership(), random, this.peerSystem,
 				port, this.peerSystem);
-		this.admission = new AdmissionFlow(new AdmissionSystem(this.endpoints, clock), this.requests, this.answers,
+		this.admission = new RequestAdmission(new AdmissionSystem(this.endpoints, clock), this.requests, this.answers,
 				this::begin);
 		this.intake = new IntakeSystem(settings, this.configuration.view(), this.requests, this.answers,
 				this.modelCalls, this.plainCalls, this.admission, clock, this.counters);
@@ -152,7 +154,7 @@
 	 */
 	public void handle(EntryEvent event) {
 		switch (event) {
-			case EntryEvent.CallArrived arrived -> this.intake.arrived(arrived);
+			case EntryEvent.CallArrived arrived -> this.intake.callArrived(arrived);
 			case EntryEvent.CallerReturned returned -> callerReturned(returned);
 			case EntryEvent.CallerLeft left -> callerLeft(left);
 			case EntryEvent.PieceArrived piece -> pieceArrived(piece);
@@ -160,24 +162,24 @@
 			case EntryEvent.CacheMoved moved ->
 				this.modelCalls.streams().cacheMoved(moved.request(), moved.target(), moved.imported());
 			case EntryEvent.VmsListed listed -> vmsListed(listed);
-			case EntryEvent.ReclaimAnnounced announced -> this.endpointSystem.announced(announced.notice());
+			case EntryEvent.ReclaimAnnounced announced -> this.endpointSystem.applyNotice(announced.notice());
 			case EntryEvent.LoadReported load -> this.endpoints.loadReported(load.endpoint(), load.report());
 			case EntryEvent.CacheChanged change -> this.endpoints.cacheChanged(change.endpoint(), change.change());
 			case EntryEvent.KeysRead read ->
 				this.claims.recordsRead(read.slot(), read.firstRetained(), read.endOffset(), read.records());
-			case EntryEvent.ProfilesRead read -> this.configuration.read(read.page());
+			case EntryEvent.ProfilesRead read -> this.configuration.pageRead(read.page());
 			case EntryEvent.AppendAnswered answered -> this.claims.appendAnswered(answered.append(), answered.result());
 			case EntryEvent.PeerMessageArrived arrived -> peerMessage(arrived.message());
 			case EntryEvent.Ticked _ -> tick();
 			case EntryEvent.StopRequested _ -> stop();
 			case EntryEvent.HandOverRequested _ -> handOver();
 		}
-		this.endpointSystem.takeNews().forEach(this::vmLeaving);
-		this.admission.settle();
+		this.endpointSystem.drainLeavingVms().forEach(this::vmLeaving);
+		this.admission.releaseEnded();
 	}
 
 	/**
-	 * Returns what was counted.
+	 * Returns the counters of requests and attempts.
 	 * @return the counters
 	 */
 	public EntryCounters counters() {
@@ -185,7 +187,7 @@
 	}
 
 	/**
-	 * Returns what was counted of streams.
+	 * Returns the counters of streams.
 	 * @return the counters
 	 */
 	public StreamCounters streamCounters() {
@@ -193,7 +195,7 @@
 	}
 
 	/**
-	 * Returns what was counted of handovers.
+	 * Returns the counters of handovers.
 	 * @return the counters
 	 */
 	public HandoverCounters handoverCounters() {
@@ -201,7 +203,7 @@
 	}
 
 	/**
-	 * Returns the table of endpoints, to be read only.
+	 * Returns the table of endpoints, which callers must not modify.
 	 * @return the table
 	 */
 	public EndpointTable endpoints() {
@@ -209,7 +211,7 @@
 	}
 
 	/**
-	 * Returns the table of the other entries, to be read only.
+	 * Returns the table of the other entries, which callers must not modify.
 	 * @return the table
 	 */
 	public PeerTable peers() {
@@ -217,7 +219,7 @@
 	}
 
 	/**
-	 * Returns the profiles and services in force, to be read only.
+	 * Returns the effective profiles and services, which callers must not modify.
 	 * @return the view of the profiles' stream
 	 */
 	public ProfileView profiles() {
@@ -225,7 +227,7 @@
 	}
 
 	/**
-	 * Returns whether this entry takes new work.
+	 * Returns whether this entry accepts new requests.
 	 * @return whether it is ready
 	 */
 	public boolean ready() {
@@ -233,7 +235,7 @@
 	}
 
 	/**
-	 * Returns whether a stop would cut nothing.
+	 * Returns whether this entry can stop without interrupting a request.
 	 * @return whether nothing is in flight
 	 */
 	public boolean canStop() {
@@ -242,7 +244,7 @@
 	}
 
 	/**
-	 * Returns the requests in flight.
+	 * Returns the number of requests in flight.
 	 * @return the number of requests
 	 */
 	public int running() {
@@ -250,7 +252,7 @@
 	}
 
 	/**
-	 * Returns the requests held for other entries.
+	 * Returns the number of requests held for other entries.
 	 * @return the number of requests
 	 */
 	public int held() {
@@ -258,30 +260,30 @@
 	}
 
 	/**
-	 * Counts a promise that would have been broken.
+	 * Counts a violated invariant.
 	 */
 	public void invariantViolated() {
 		this.invariantViolations++;
 	}
 
 	/**
-	 * Counts an event that failed.
+	 * Counts an event whose handling failed.
 	 */
 	public void eventFailed() {
 		this.failedEvents++;
 	}
 
 	/**
-	 * Returns the promises that would have been broken.
-	 * @return their number, 0 in a sound system
+	 * Returns the number of violated invariants.
+	 * @return the number, 0 in a correct system
 	 */
 	public long invariantViolations() {
 		return this.invariantViolations;
 	}
 
 	/**
-	 * Returns the events that failed.
-	 * @return their number, 0 in a sound system
+	 * Returns the number of events whose handling failed.
+	 * @return the number, 0 in a correct system
 	 */
 	public long failedEvents() {
 		return this.failedEvents;
@@ -292,20 +294,20 @@
 	}
 
 	private void callerReturned(EntryEvent.CallerReturned returned) {
-		if (!this.answers.returned(returned, new AnswerReader(returned.fromOffset()))) {
-			this.fetches.find(returned);
+		if (!this.answers.callerReturned(returned, new AnswerReader(returned.fromOffset()))) {
+			this.fetches.start(returned);
 		}
 	}
 
 	private void callerLeft(EntryEvent.CallerLeft left) {
-		this.answers.left(left);
-		this.fetches.left(left.subscriber());
+		this.answers.callerLeft(left);
+		this.fetches.callerLeft(left.subscriber());
 	}
 
 	private void pieceArrived(EntryEvent.PieceArrived piece) {
 		RequestEntity request = this.requests.find(piece.request());
-		if (request != null && !request.ended()) {
-			this.modelCalls.piece(request, piece);
+		if (request != null && !request.isEnded()) {
+			this.modelCalls.pieceReceived(request, piece);
 		}
 	}
 
@@ -316,7 +318,7 @@
 			return;
 		}
 		RequestEntity request = this.requests.find(ended.request());
-		if (request == null || request.ended() || request.attempt != ended.attempt()) {
+		if (request == null || request.isEnded() || request.attempt != ended.attempt()) {
 			return;
 		}
 		if (request.call.prompt() != null) {
@@ -328,11 +330,11 @@
 	}
 
 	private void vmsListed(EntryEvent.VmsListed listed) {
-		this.endpointSystem.listed(listed);
+		this.endpointSystem.applyList(listed);
 		this.membership.setSeeds(listed.entries());
 	}
 
-	private void vmLeaving(EndpointSystem.Leaving leaving) {
+	private void vmLeaving(EndpointSystem.LeavingVm leaving) {
 		for (EndpointId endpoint : leaving.endpoints()) {
 			this.modelCalls.endpointLeaving(endpoint, leaving.reclaimAt());
 		}
@@ -343,22 +345,24 @@
 	}
 
 	private void peerMessage(PeerMessage message) {
-		if (this.membership.receive(message) || !canTake(message) || this.handover.receive(message)) {
+		if (this.membership.receive(message) || !canAccept(message) || this.handover.receive(message)) {
 			return;
 		}
 		switch (message) {
-			case PeerMessage.AnswerPieces pieces -> this.fetches.received(pieces);
-			case PeerMessage.LogRecordsRequest request -> this.configuration.requested(request);
-			case PeerMessage.LogRecordsRelay relay -> this.configuration.relayed(relay);
+			case PeerMessage.AnswerPieces pieces -> this.fetches.piecesReceived(pieces);
+			case PeerMessage.LogRecordsRequest request -> this.configuration.recordsRequested(request);
+			case PeerMessage.LogRecordsRelay relay -> this.configuration.recordsRelayed(relay);
 			default -> {
-				// A later version's message: its sender goes on without an answer.
+				// A message of a later version; its sender proceeds without a
+				// reply.
 			}
 		}
 	}
 
-	// A process that has not read the profiles yet does not answer for a request: it
-	// could not finish it. Its sender hears nothing and asks the next peer.
-	private boolean canTake(PeerMessage message) {
+	// A process that has not read the profiles yet cannot complete a request and
+	// must not accept it. It does not reply, so that the sender tries the next
+	// peer.
+	private boolean canAccept(PeerMessage message) {
 		return switch (message) {
 			case PeerMessage.HoldRequest request -> knowsService(request.held());
 			case PeerMessage.HandOver handOver -> knowsService(handOver.held());
@@ -370,13 +374,14 @@
 		return this.configuration.view().table().service(held.service()) != null;
 	}
 
-	// A request that waited for room while a stop began is served without a second entry
-	// that holds it: peers are asked to hold nothing for a process that is about to end.
-	// One that would outlive this VM is refused, before it counts as accepted.
+	// A request that was waiting for capacity when the stop began is served without
+	// a copy at a second entry: peers hold no requests for a process that is about
+	// to end. During a handover, which a request may outlast, it is rejected before
+	// it counts as accepted.
 	private void begin(RequestEntity request) {
 		if (this.handingOver) {
 			this.answers.fail(request, ErrorKind.STOPPING, ErrorKind.STOPPING.meaning(),
-					IntakeSystem.COME_BACK_TO_ANOTHER);
+					IntakeSystem.OTHER_ENTRY_RETRY_AFTER);
 			return;
 		}
 		if (request.call.prompt() != null) {
@@ -405,7 +410,7 @@
 		this.handover.tick();
 		this.claims.tick();
 		this.suspects.tick();
-		this.peerSystem.spreadSuspects(this.membership);
+		this.peerSystem.sendSuspects(this.membership);
 		this.configuration.tick();
 		this.modelCalls.tick();
 		this.fetches.tick();
@@ -413,7 +418,7 @@
 		this.admission.tick();
 	}
 
-	// Takes no new work; what is in flight ends here.
+	// Stops accepting requests; those in flight complete at this entry.
 	private void stop() {
 		if (this.stopping) {
 			return;
@@ -424,11 +429,12 @@
 		this.membership.leave();
 	}
 
-	// Gives all work to other entries, since this VM is about to go.
+	// Hands all requests over to other entries, since this VM is about to be
+	// reclaimed.
 	private void handOver() {
 		stop();
 		this.handingOver = true;
-		this.handover.handOverAll(isWholeDataCenterLeaving());
+		this.handover.handOverAll(isDataCenterLeaving());
 		List<PeerState> receivers = this.peers.living()
 			.stream()
 			.filter((peer) -> peer.status() == PeerStatus.ALIVE
@@ -439,7 +445,7 @@
 		}
 	}
 
-	private boolean isWholeDataCenterLeaving() {
+	private boolean isDataCenterLeaving() {
 		return this.peers.living(this.identity.dataCenter())
 			.stream()
 			.allMatch((peer) -> peer.status() == PeerStatus.LEAVING
@@ -448,7 +454,7 @@
 	}
 
 	/**
-	 * Turns what the ledger wants into commands and answers.
+	 * Executes the commands and answers of the ledger.
 	 */
 	private final class EntryClaimPort implements ClaimPort {
 
@@ -476,7 +482,7 @@
 	}
 
 	/**
-	 * Starts, takes over and lets go of requests as the handover says.
+	 * Starts, takes over and releases requests for {@link HandoverSystem}.
 	 */
 	private final class EntryHandoverPort implements HandoverPort {
 
@@ -499,7 +505,7 @@
 		@Override
 		public void released(RequestId id, Incarnation owner) {
 			RequestEntity request = EntryCore.this.requests.find(id);
-			if (request == null || request.ended()) {
+			if (request == null || request.isEnded()) {
 				return;
 			}
 			if (request.kind() == CallKind.MODEL) {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCounters.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCounters.java
@@ -6,7 +6,7 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * What the entry counted since it started, for metrics and status.
+ * The counters of an entry since its start, for metrics and status.
  */
 public final class EntryCounters {
 
@@ -25,7 +25,7 @@
 	private long generatedTokens;
 
 	/**
-	 * Returns the requests that arrived.
+	 * Returns the number of received requests.
 	 * @return the number of requests
 	 */
 	public long arrived() {
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Returns the requests that were answered whole.
+	 * Returns the number of requests that were answered completely.
 	 * @return the number of requests
 	 */
 	public long answered() {
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Returns the attempts at endpoints.
+	 * Returns the number of attempts at endpoints.
 	 * @return the number of attempts
 	 */
 	public long attempts() {
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Returns the attempts after a request's first one.
+	 * Returns the number of attempts after the first one of a request.
 	 * @return the number of retries
 	 */
 	public long retries() {
@@ -57,8 +57,8 @@
 	}
 
 	/**
-	 * Returns the tokens that engines say they computed again, where
-	 * {@link org.banyancove.core.stream.StreamCounters} counts what was to be expected.
+	 * Returns the number of recomputed tokens as reported by the engines.
+	 * {@link org.banyancove.core.stream.StreamCounters} counts the expected number.
 	 * @return the number of tokens
 	 */
 	public long recomputedTokens() {
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * Returns the tokens passed on to callers.
+	 * Returns the number of tokens delivered to callers.
 	 * @return the number of tokens
 	 */
 	public long generatedTokens() {
@@ -74,41 +74,41 @@
 	}
 
 	/**
-	 * Returns the errors answered by kind.
+	 * Returns the number of failed requests by kind of error.
 	 * @return an immutable copy
 	 */
 	public Map<ErrorKind, Long> failures() {
 		return Map.copyOf(this.failures);
 	}
 
-	void arrivedOne() {
+	void countArrival() {
 		this.arrived++;
 	}
 
-	void refused(ErrorKind kind) {
+	void countFailure(ErrorKind kind) {
 		this.failures.merge(kind, 1L, Long::sum);
 	}
 
-	void ended(AnswerPart last) {
+	void countEnd(AnswerPart last) {
 		if (last instanceof AnswerPart.Failure failure) {
-			refused(failure.kind());
+			countFailure(failure.kind());
 			return;
 		}
 		this.answered++;
 	}
 
-	void attempt(int number) {
+	void countAttempt(int number) {
 		this.attempts++;
 		if (number > 1) {
 			this.retries++;
 		}
 	}
 
-	void recomputed(long tokens) {
+	void countRecomputed(long tokens) {
 		this.recomputedTokens += tokens;
 	}
 
-	void generated(long tokens) {
+	void countGenerated(long tokens) {
 		this.generatedTokens += tokens;
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryEvent.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryEvent.java
@@ -19,7 +19,7 @@
 import org.banyancove.core.routing.LoadReport;
 
 /**
- * Something that happened outside the core.
+ * An event that the core handles.
  */
 public sealed interface EntryEvent {
 
@@ -34,12 +34,12 @@
 	}
 
 	/**
-	 * A caller came back for the answer to a request that was accepted before.
+	 * A caller reconnected for the answer to a request that was accepted before.
 	 *
 	 * @param subscriber the connection that waits for the answer
 	 * @param request the request
 	 * @param account the caller's account
-	 * @param fromOffset the offset of the first token wanted
+	 * @param fromOffset the offset of the first requested token
 	 */
 	record CallerReturned(SubscriberId subscriber, RequestId request, AccountName account,
 			long fromOffset) implements EntryEvent {
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * A caller's connection is closed, after its answer or before.
+	 * A caller's connection was closed, before or after its answer.
 	 *
 	 * @param subscriber the connection
 	 * @param request the request it waited for
@@ -60,9 +60,9 @@
 	 * An engine sent a piece of an answer.
 	 *
 	 * @param request the request
-	 * @param attempt the attempt that the piece belongs to
+	 * @param attempt the number of the attempt that the piece belongs to
 	 * @param fromOffset the offset of the piece's first token
-	 * @param toOffset the offset behind its last token
+	 * @param toOffset the offset after its last token
 	 * @param text the tokens' text
 	 */
 	record PieceArrived(RequestId request, int attempt, long fromOffset, long toOffset,
@@ -75,19 +75,19 @@
 	 *
 	 * @param request the request
 	 * @param attempt the attempt's number
-	 * @param result how it ended
+	 * @param result its result
 	 */
 	record AttemptEnded(RequestId request, int attempt, AttemptResult result) implements EntryEvent {
 
 	}
 
 	/**
-	 * The platform's list of VMs was read. It lags behind the truth.
+	 * The platform's list of VMs was read. The list lags behind the actual state.
 	 *
-	 * @param asOf when the list was true
+	 * @param asOf the time of the listed state
 	 * @param live the endpoints on live VMs
 	 * @param leaving the VMs that are being reclaimed
-	 * @param entries where other entries may be
+	 * @param entries the possible addresses of other entries
 	 */
 	record VmsListed(Instant asOf, List<EndpointDefinition> live, List<ReclaimNotice> leaving,
 			List<PeerSeed> entries) implements EntryEvent {
@@ -113,7 +113,7 @@
 	 * An endpoint reported its load.
 	 *
 	 * @param endpoint the endpoint
-	 * @param report the report, which lags
+	 * @param report the report, which lags behind the actual load
 	 */
 	record LoadReported(EndpointId endpoint, LoadReport report) implements EntryEvent {
 
@@ -123,7 +123,7 @@
 	 * An engine's prefix cache changed.
 	 *
 	 * @param endpoint the engine
-	 * @param change the change, late and perhaps after a gap
+	 * @param change the change, which arrives late and may follow a gap
 	 */
 	record CacheChanged(EndpointId endpoint, CacheChange change) implements EntryEvent {
 
@@ -133,8 +133,8 @@
 	 * Records of a key slot were read from the log.
 	 *
 	 * @param slot the slot
-	 * @param firstRetained the offset of the oldest record that the log still keeps
-	 * @param endOffset the offset that the next record gets
+	 * @param firstRetained the offset of the oldest record that the log retains
+	 * @param endOffset the offset of the next record to be appended
 	 * @param records the records, in order
 	 */
 	record KeysRead(KeySlot slot, long firstRetained, long endOffset,
@@ -156,7 +156,7 @@
 	}
 
 	/**
-	 * The log answered an append, or did not.
+	 * An append to the log completed, was rejected or timed out.
 	 *
 	 * @param append the append
 	 * @param result its result
@@ -166,11 +166,11 @@
 	}
 
 	/**
-	 * The KV cache of a stream was copied to another engine, or could not be.
+	 * The copy of a stream's KV cache to another engine succeeded or failed.
 	 *
 	 * @param request the request
-	 * @param target the engine that was to import it
-	 * @param imported whether it did
+	 * @param target the engine that should import the cache
+	 * @param imported whether the engine imported the cache
 	 */
 	record CacheMoved(RequestId request, EndpointId target, boolean imported) implements EntryEvent {
 
@@ -186,21 +186,22 @@
 	}
 
 	/**
-	 * Time passed.
+	 * The timer of the event loop expired.
 	 */
 	record Ticked() implements EntryEvent {
 
 	}
 
 	/**
-	 * This process was told to stop.
+	 * A graceful stop of this process was requested.
 	 */
 	record StopRequested() implements EntryEvent {
 
 	}
 
 	/**
-	 * This process has to go before its work can end here.
+	 * A handover of all requests was requested, since this process must end before they
+	 * complete.
 	 */
 	record HandOverRequested() implements EntryEvent {
 
@@ -210,7 +211,7 @@
 	 * An announced reclaim of one VM.
 	 *
 	 * @param vm the VM
-	 * @param reclaimAt when it goes
+	 * @param reclaimAt the time of the reclaim
 	 */
 	record ReclaimNotice(VmId vm, Instant reclaimAt) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryIdentity.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryIdentity.java
@@ -5,9 +5,9 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * Who and where an entry is.
+ * The process, location and address of an entry.
  *
- * @param incarnation this life of this process
+ * @param incarnation the incarnation of the process
  * @param dataCenter the data center
  * @param zone the zone
  * @param peerAddress the address at which other entries reach this one
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntrySettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntrySettings.java
@@ -13,28 +13,32 @@
 /**
  * The limits of an entry's tables.
  *
- * @param keepAnswers how long an ended answer is kept for its caller to come back
- * @param keepAnswerBytes how many bytes of ended answers are kept at the most
- * @param maximumRequests the requests that may run at once
- * @param suspectSettleTime how long after a crash the peers' reports of it may still come
- * @param profileReaders the entries of each data center that read the profiles' stream, 0
- * for all
+ * @param keepAnswers how long an ended answer is retained for a caller that reconnects
+ * @param keepAnswerBytes the maximum total size of the retained answers in bytes
+ * @param maximumRequests the maximum number of concurrent requests
+ * @param suspectSettleTime how long after a crash the peers' reports of it may still
+ * arrive
+ * @param profileReaders the number of entries of each data center that read the profiles'
+ * stream, 0 for all
  * @param claims the settings of the key ledger
  * @param streams the settings of streams
- * @param handover the settings of holding and handing over
+ * @param handover the settings of held requests and handovers
  * @param membership the settings of membership
- * @param region the other data centers of the entry's region, whose endpoints it keeps in
- * full; empty if all data centers are one region
- * @param placement what the placement at lowest cost weighs
+ * @param region the other data centers of the entry's region, whose endpoints are kept in
+ * full detail; empty if all data centers form one region
+ * @param placement the weights of cost-based placement
  */
 public record EntrySettings(Duration keepAnswers, long keepAnswerBytes, int maximumRequests, Duration suspectSettleTime,
 		int profileReaders, ClaimSettings claims, StreamSettings streams, HandoverSettings handover,
 		MembershipSettings membership, Set<DataCenterName> region, PlacementSettings placement) {
 
-	/** Peers hear of a crash within two heartbeats. */
+	/** Peers are notified of a crash within two heartbeats. */
 	static final Duration SUSPECT_SETTLE_TIME = Duration.ofMillis(500);
 
-	/** With one, its followers read for themselves until its death is known. */
+	/**
+	 * With a single reader, all its followers would read the stream themselves until the
+	 * reader's failure is detected.
+	 */
 	static final int PROFILE_READERS = 2;
 
 	/**
@@ -52,7 +56,7 @@
 	}
 
 	/**
-	 * Returns settings that suit a small site.
+	 * Returns the default settings, which suit a small installation.
 	 * @param nearby the other data centers whose entries may hold requests
 	 * @return the settings
 	 */
@@ -63,9 +67,9 @@
 	}
 
 	/**
-	 * Returns these settings with another number of readers.
-	 * @param readers the entries of each data center that read the profiles' stream, 0
-	 * for all
+	 * Returns a copy of these settings with another number of readers.
+	 * @param readers the number of entries of each data center that read the profiles'
+	 * stream, 0 for all
 	 * @return the settings
 	 */
 	public EntrySettings withProfileReaders(int readers) {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/HoldSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/HoldSystem.java
@@ -7,8 +7,8 @@
 import org.banyancove.core.handover.HandoverSystem;
 
 /**
- * Lets requests be held by a second entry before they count as accepted, but for those
- * that are begun while this process stops.
+ * Requests a copy of each request at a second entry before the request counts as
+ * accepted. Requests that begin while this process stops are accepted without a copy.
  */
 final class HoldSystem {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/IntakeSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/IntakeSystem.java
@@ -22,16 +22,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides which requests are taken in, and ends those whose deadline has passed.
+ * Validates arriving requests, rejects those that this entry cannot accept, and ends
+ * those whose deadline has passed.
  */
 final class IntakeSystem {
 
-	/** Stopping is brief, and another entry takes the work at once. */
-	static final Duration COME_BACK_TO_ANOTHER = Duration.ofSeconds(1);
+	/**
+	 * Short, since stopping takes little time and another entry accepts a retry at once.
+	 */
+	static final Duration OTHER_ENTRY_RETRY_AFTER = Duration.ofSeconds(1);
 
-	private static final String CONTENT_TYPE = "application/json";
+	private static final String ADOPTED_CONTENT_TYPE = "application/json";
 
-	private static final int ADOPTED_TOKENS = 256;
+	private static final int ADOPTED_MAXIMUM_TOKENS = 256;
 
 	private final EntrySettings settings;
 
@@ -45,7 +48,7 @@
 
 	private final PlainCallSystem plainCalls;
 
-	private final AdmissionFlow admission;
+	private final RequestAdmission admission;
 
 	private final InstantSource clock;
 
@@ -54,7 +57,7 @@
 	private boolean stopping;
 
 	IntakeSystem(EntrySettings settings, ProfileView profiles, RequestTable requests, AnswerSystem answers,
-			ModelCallSystem modelCalls, PlainCallSystem plainCalls, AdmissionFlow admission, InstantSource clock,
+			ModelCallSystem modelCalls, PlainCallSystem plainCalls, RequestAdmission admission, InstantSource clock,
 			EntryCounters counters) {
 		this.settings = settings;
 		this.profiles = profiles;
@@ -67,33 +70,33 @@
 		this.counters = counters;
 	}
 
-	void arrived(EntryEvent.CallArrived arrived) {
-		this.counters.arrivedOne();
-		AnswerPart.Failure refusal = refusal();
-		if (refusal != null) {
-			this.answers.refuse(arrived.subscriber(), refusal);
+	void callArrived(EntryEvent.CallArrived event) {
+		this.counters.countArrival();
+		AnswerPart.Failure rejection = rejection();
+		if (rejection != null) {
+			this.answers.reject(event.subscriber(), rejection);
 			return;
 		}
 		RequestEntity request;
 		try {
-			request = admit(arrived.call());
+			request = createRequest(event.call());
 		}
 		catch (BanyancoveException ex) {
-			this.answers.refuse(arrived.subscriber(), AnswerSystem.failure(ex));
+			this.answers.reject(event.subscriber(), AnswerSystem.failure(ex));
 			return;
 		}
-		request.subscribers.put(arrived.subscriber(), new AnswerReader(0));
+		request.subscribers.put(event.subscriber(), new AnswerReader(0));
 		this.requests.add(request);
 		this.admission.offer(request);
 	}
 
-	// Takes in a request that another entry accepted. Its prompt's prefixes are estimated
-	// from the raw body, which costs a cache hit at worst.
+	// Registers a request that another entry accepted. The prefixes of its prompt
+	// are estimated from the raw body; a wrong estimate costs at most a cache hit.
 	RequestEntity adopt(HeldRequest held) {
-		Prompt prompt = (held.kind() == CallKind.MODEL) ? Prompt.of(held.body().text(), ADOPTED_TOKENS) : null;
-		Call call = new Call(held.request(), held.account(), held.service(), held.method(), held.path(), CONTENT_TYPE,
-				held.body(), held.idempotencyKey(), prompt);
-		RequestTerms terms = acceptedTerms(held.service());
+		Prompt prompt = (held.kind() == CallKind.MODEL) ? Prompt.of(held.body().text(), ADOPTED_MAXIMUM_TOKENS) : null;
+		Call call = new Call(held.request(), held.account(), held.service(), held.method(), held.path(),
+				ADOPTED_CONTENT_TYPE, held.body(), held.idempotencyKey(), prompt);
+		RequestTerms terms = termsOfAcceptedRequest(held.service());
 		RequestEntity request = new RequestEntity(call, terms, this.clock.instant(), held.deadline());
 		RequestEntity known = this.requests.find(held.request());
 		if (known != null) {
@@ -105,37 +108,36 @@
 
 	void tick() {
 		Instant now = this.clock.instant();
-		for (RequestEntity request : this.requests.takeOverdue(now)) {
-			overdue(request);
+		for (RequestEntity request : this.requests.removeExpired(now)) {
+			expire(request);
 		}
-		this.requests.dropOldest(now);
+		this.requests.evictEnded(now);
 	}
 
 	void stop() {
 		this.stopping = true;
 	}
 
-	private AnswerPart.@Nullable Failure refusal() {
+	private AnswerPart.@Nullable Failure rejection() {
 		if (this.stopping) {
-			return new AnswerPart.Failure(ErrorKind.STOPPING, "this entry is stopping", COME_BACK_TO_ANOTHER);
+			return new AnswerPart.Failure(ErrorKind.STOPPING, "this entry is stopping", OTHER_ENTRY_RETRY_AFTER);
 		}
 		if (this.requests.running() >= this.settings.maximumRequests()) {
 			return new AnswerPart.Failure(ErrorKind.OVERLOADED, "this entry runs as many requests as it may",
-					COME_BACK_TO_ANOTHER);
+					OTHER_ENTRY_RETRY_AFTER);
 		}
 		return null;
 	}
 
-	private RequestEntity admit(Call call) {
+	private RequestEntity createRequest(Call call) {
 		RequestTerms terms = this.profiles.table().terms(call.service());
-		check(call, terms.service(), terms.profile());
+		validate(call, terms.service(), terms.profile());
 		Instant now = this.clock.instant();
 		return new RequestEntity(call, terms, now, now.plus(terms.profile().deadline()));
 	}
 
-	// A request that was accepted before its service was retired is finished all the
-	// same.
-	private RequestTerms acceptedTerms(ServiceName name) {
+	// A request that was accepted before its service was retired still completes.
+	private RequestTerms termsOfAcceptedRequest(ServiceName name) {
 		PublishedService published = this.profiles.table().service(name);
 		if (published == null || published.service().state() == ServiceState.ACTIVE) {
 			return this.profiles.table().terms(name);
@@ -145,7 +147,7 @@
 		return new RequestTerms(published.revision(), service, profile.revision(), profile.profile());
 	}
 
-	private static void check(Call call, ServiceDefinition service, Profile profile) {
+	private static void validate(Call call, ServiceDefinition service, Profile profile) {
 		boolean model = call.prompt() != null;
 		if (model != (service.kind() == ServiceKind.MODEL)) {
 			throw new BanyancoveException(ErrorKind.SERVICE_UNKNOWN,
@@ -161,9 +163,9 @@
 		}
 	}
 
-	// Ends a model request whose answer is of no use any longer. A call that may run once
-	// only is ended by its claim, which alone knows what may be said of it.
-	private void overdue(RequestEntity request) {
+	// Ends a request whose deadline has passed. An at-most-once call is ended by
+	// its claim, since only the claim determines whether the call may have run.
+	private void expire(RequestEntity request) {
 		if (request.phase == RequestPhase.WAITING) {
 			this.admission.cancel(request);
 			this.answers.fail(request, ErrorKind.OVERLOADED, "the deadline passed before there was room",
@@ -171,10 +173,10 @@
 			return;
 		}
 		if (request.kind() == CallKind.MODEL) {
-			this.modelCalls.giveUp(request);
+			this.modelCalls.expire(request);
 		}
 		else if (request.mayRepeat()) {
-			this.plainCalls.giveUp(request);
+			this.plainCalls.expire(request);
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ModelCallSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ModelCallSystem.java
@@ -26,12 +26,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs model requests: {@link StreamSystem} decides how each stream goes on, this class
- * finds it endpoints and carries its commands out.
+ * Runs model requests: {@link StreamSystem} decides how each stream proceeds; this class
+ * selects endpoints and executes its commands.
  */
 final class ModelCallSystem implements StreamPort {
 
-	private static final int FIRST_SERVER_ERROR = 500;
+	private static final int MINIMUM_SERVER_ERROR_STATUS = 500;
 
 	private final RequestTable requests;
 
@@ -51,8 +51,8 @@
 
 	private final HoldSystem holds;
 
-	/** Accepted requests that no endpoint can take right now. */
-	private final List<RequestEntity> withoutEndpoint = new ArrayList<>();
+	/** Accepted requests for which no endpoint is available. */
+	private final List<RequestEntity> awaitingEndpoint = new ArrayList<>();
 
 	ModelCallSystem(RequestTable requests, AttemptSystem attempts, AnswerSystem answers, HoldSystem holds,
 			StreamSettings settings, InstantSource clock, Consumer<EntryCommand> commands, EntryCounters counters) {
@@ -66,39 +66,39 @@
 		this.streams = new StreamSystem(this.table, clock, settings, this);
 	}
 
-	// Offers a request to a second entry, which holds it before it counts as accepted,
-	// or answers it at once where it cannot be placed.
+	// Offers a request to a second entry, which must hold a copy before the request
+	// counts as accepted, or fails it at once if it cannot be placed.
 	void begin(RequestEntity request) {
 		switch (this.attempts.place(request)) {
-			case Placing.Ready _ -> this.holds.offer(request);
-			case Placing.Later _ -> this.holds.offer(request);
-			case Placing.Refused refused -> this.answers.fail(request, refused.kind(),
+			case AttemptPlacement.Ready _ -> this.holds.offer(request);
+			case AttemptPlacement.Deferred _ -> this.holds.offer(request);
+			case AttemptPlacement.Refused refused -> this.answers.fail(request, refused.kind(),
 					"no engine can meet the profile's deadline", refused.retryAfter());
-			case Placing.Convicted _ -> this.answers.convicted(request);
+			case AttemptPlacement.Blocked _ -> this.answers.failBlocked(request);
 		}
 	}
 
-	// Starts the stream of a request that a second entry holds.
+	// Starts the stream of a request that a second entry holds too.
 	void accepted(RequestEntity request) {
 		this.answers.accepted(request);
 		startOrWait(request);
 	}
 
-	// Goes on with a request of an entry that is gone.
+	// Resumes a request whose former owner failed or left.
 	void takeOver(RequestEntity request, HeldRequest held, Progress progress) {
 		request.phase = RequestPhase.RUNNING;
 		EndpointId endpoint = progress.endpoint();
 		if (endpoint != null) {
-			this.attempts.adopted(request, endpoint);
+			this.attempts.adopt(request, endpoint);
 		}
 		this.streams.adopt(held, progress, promptTokens(request), maximumTokens(request));
 		bindAnswer(request);
 	}
 
-	// Forgets a request that belongs to another entry now.
+	// Removes the stream of a request that another entry owns now.
 	void released(RequestEntity request) {
 		this.streams.released(request.id());
-		this.attempts.ended(request, AttemptOutcome.CANCELLED);
+		this.attempts.endAttempt(request, AttemptOutcome.CANCELLED);
 	}
 
 	@Nullable StreamEntity find(RequestId id) {
@@ -109,7 +109,7 @@
 		return this.streams;
 	}
 
-	void piece(RequestEntity request, EntryEvent.PieceArrived event) {
+	void pieceReceived(RequestEntity request, EntryEvent.PieceArrived event) {
 		Piece piece = new Piece(event.attempt(), event.fromOffset(), event.toOffset(), event.text());
 		this.streams.piece(request.id(), piece);
 	}
@@ -119,12 +119,12 @@
 		int attempt = event.attempt();
 		switch (event.result()) {
 			case AttemptResult.StreamEnded ended -> {
-				this.counters.recomputed(ended.recomputedTokens());
+				this.counters.countRecomputed(ended.recomputedTokens());
 				this.streams.ended(id, attempt, ended.totalTokens(), ended.finishReason());
 			}
-			case AttemptResult.Answered answered -> rejected(request, attempt, answered);
-			case AttemptResult.Refused _ -> failed(request, attempt, AttemptOutcome.REFUSED);
-			case AttemptResult.NeverSent _ -> unreachable(request, attempt);
+			case AttemptResult.Answered answered -> requestRejected(request, attempt, answered);
+			case AttemptResult.Refused _ -> attemptFailed(request, attempt, AttemptOutcome.REFUSED);
+			case AttemptResult.NeverSent _ -> endpointUnreachable(request, attempt);
 			case AttemptResult.Broken _ -> this.streams.broken(id, attempt, true);
 		}
 	}
@@ -133,31 +133,31 @@
 		this.streams.endpointLeaving(endpoint, reclaimAt);
 	}
 
-	// Tries again to place the accepted requests that had no endpoint.
+	// Retries the placement of the accepted requests that have no endpoint.
 	void tick() {
 		this.streams.tick();
-		List<RequestEntity> waiting = new ArrayList<>(this.withoutEndpoint);
-		this.withoutEndpoint.clear();
+		List<RequestEntity> waiting = new ArrayList<>(this.awaitingEndpoint);
+		this.awaitingEndpoint.clear();
 		for (RequestEntity request : waiting) {
-			if (!request.ended()) {
-				placeAgain(request);
+			if (!request.isEnded()) {
+				retryPlacement(request);
 			}
 		}
 	}
 
-	// Ends a request whose deadline has passed before it had a stream.
-	void giveUp(RequestEntity request) {
+	// Fails a request whose deadline passed before its stream started.
+	void expire(RequestEntity request) {
 		if (this.table.find(request.id()) == null) {
 			this.answers.fail(request, ErrorKind.OVERLOADED, "the deadline passed before an engine was free",
 					retryAfter(request.service.name()));
-			this.holds.ended(request.id(), 0, failed(ErrorKind.OVERLOADED, request));
+			this.holds.ended(request.id(), 0, failure(ErrorKind.OVERLOADED, request));
 		}
 	}
 
 	@Override
 	public void execute(StreamCommand command) {
 		RequestEntity request = this.requests.find(command.request());
-		if (request == null || request.ended()) {
+		if (request == null || request.isEnded()) {
 			return;
 		}
 		switch (command) {
@@ -166,9 +166,9 @@
 					new AttemptRequest.Generate(request.call.body(), request.profile.priority()));
 			case StreamCommand.Reattach reattach ->
 				this.attempts.reattach(request, reattach.endpoint(), reattach.attempt(), reattach.fromOffset());
-			case StreamCommand.Continue rest ->
-				this.attempts.start(request, rest.endpoint(), rest.attempt(), new AttemptRequest.Continue(
-						request.call.body(), request.profile.priority(), rest.fromOffset(), rest.text()));
+			case StreamCommand.Continue resume ->
+				this.attempts.start(request, resume.endpoint(), resume.attempt(), new AttemptRequest.Continue(
+						request.call.body(), request.profile.priority(), resume.fromOffset(), resume.text()));
 			case StreamCommand.MoveCache move -> moveCache(request, move);
 			case StreamCommand.Close close -> close(request, close);
 			case StreamCommand.Deliver deliver -> deliver(request, deliver.pieces());
@@ -178,15 +178,15 @@
 
 	@Override
 	public Duration retryAfter(ServiceName service) {
-		return this.attempts.untilAnyEndpoint(service);
+		return this.attempts.retryAfterNoEndpoint(service);
 	}
 
 	private void startOrWait(RequestEntity request) {
 		switch (this.attempts.place(request)) {
-			case Placing.Ready ready -> startStream(request, ready.placed().endpoint());
-			case Placing.Refused _ -> this.withoutEndpoint.add(request);
-			case Placing.Later _ -> this.withoutEndpoint.add(request);
-			case Placing.Convicted _ -> convictedBeforeStart(request);
+			case AttemptPlacement.Ready ready -> startStream(request, ready.placed().endpoint());
+			case AttemptPlacement.Refused _ -> this.awaitingEndpoint.add(request);
+			case AttemptPlacement.Deferred _ -> this.awaitingEndpoint.add(request);
+			case AttemptPlacement.Blocked _ -> failBlockedBeforeStart(request);
 		}
 	}
 
@@ -200,24 +200,24 @@
 		request.answer = (stream != null) ? stream.answer() : null;
 	}
 
-	private void convictedBeforeStart(RequestEntity request) {
-		this.answers.convicted(request);
-		this.holds.ended(request.id(), 0, failed(ErrorKind.REQUEST_CRASHES_ENDPOINTS, request));
+	private void failBlockedBeforeStart(RequestEntity request) {
+		this.answers.failBlocked(request);
+		this.holds.ended(request.id(), 0, failure(ErrorKind.REQUEST_CRASHES_ENDPOINTS, request));
 	}
 
-	// Keeps an accepted request while no endpoint can take it: its deadline ends the
-	// wait.
-	private void placeAgain(RequestEntity request) {
+	// An accepted request waits until an endpoint is available or its deadline
+	// passes.
+	private void retryPlacement(RequestEntity request) {
 		StreamEntity stream = this.table.find(request.id());
 		if (stream == null) {
 			startOrWait(request);
 			return;
 		}
 		switch (this.attempts.place(request)) {
-			case Placing.Ready ready -> this.streams.placed(request.id(), ready.placed().endpoint());
-			case Placing.Refused _ -> waitForEndpoint(request, stream);
-			case Placing.Later _ -> waitForEndpoint(request, stream);
-			case Placing.Convicted _ -> {
+			case AttemptPlacement.Ready ready -> this.streams.placed(request.id(), ready.placed().endpoint());
+			case AttemptPlacement.Refused _ -> waitForEndpoint(request, stream);
+			case AttemptPlacement.Deferred _ -> waitForEndpoint(request, stream);
+			case AttemptPlacement.Blocked _ -> {
 				request.failure = ErrorKind.REQUEST_CRASHES_ENDPOINTS;
 				this.streams.giveUp(request.id(), ErrorKind.REQUEST_CRASHES_ENDPOINTS);
 			}
@@ -226,11 +226,11 @@
 
 	private void waitForEndpoint(RequestEntity request, StreamEntity stream) {
 		if (stream.endpoint() != null) {
-			// The leaving endpoint streams on meanwhile.
+			// The leaving endpoint continues the stream until another is available.
 			this.streams.notPlaced(request.id());
 			return;
 		}
-		this.withoutEndpoint.add(request);
+		this.awaitingEndpoint.add(request);
 	}
 
 	private void place(RequestEntity request, StreamCommand.Place place) {
@@ -242,18 +242,19 @@
 			return;
 		}
 		request.outcome = AttemptOutcome.CANCELLED;
-		placeAgain(request);
+		retryPlacement(request);
 	}
 
-	// The engine understood the request and said no. A stream that it does not know is
-	// moved; anything else another engine would refuse too.
-	private void rejected(RequestEntity request, int attempt, AttemptResult.Answered answered) {
-		if (answered.status() >= FIRST_SERVER_ERROR) {
-			failed(request, attempt, AttemptOutcome.FAILED);
+	// The engine understood the request and rejected it. A stream that it does not
+	// have moves to another engine; any other request would be rejected by another
+	// engine too.
+	private void requestRejected(RequestEntity request, int attempt, AttemptResult.Answered answered) {
+		if (answered.status() >= MINIMUM_SERVER_ERROR_STATUS) {
+			attemptFailed(request, attempt, AttemptOutcome.FAILED);
 			return;
 		}
-		switch (request.content) {
-			case AttemptRequest.Reattach _ -> failed(request, attempt, AttemptOutcome.FAILED);
+		switch (request.attemptRequest) {
+			case AttemptRequest.Reattach _ -> attemptFailed(request, attempt, AttemptOutcome.FAILED);
 			case AttemptRequest.Continue _ -> this.streams.resumeRefused(request.id(), attempt);
 			case null, default -> {
 				request.failure = ErrorKind.MALFORMED_REQUEST;
@@ -262,28 +263,28 @@
 		}
 	}
 
-	private void failed(RequestEntity request, int attempt, AttemptOutcome outcome) {
+	private void attemptFailed(RequestEntity request, int attempt, AttemptOutcome outcome) {
 		request.outcome = outcome;
-		this.attempts.ended(request, outcome);
+		this.attempts.endAttempt(request, outcome);
 		this.streams.broken(request.id(), attempt, false);
 	}
 
-	private void unreachable(RequestEntity request, int attempt) {
+	private void endpointUnreachable(RequestEntity request, int attempt) {
 		EndpointId endpoint = request.endpoint;
-		this.attempts.lost(request);
-		failed(request, attempt, AttemptOutcome.LOST);
+		this.attempts.markEndpointGone(request);
+		attemptFailed(request, attempt, AttemptOutcome.LOST);
 		if (endpoint != null) {
-			this.table.at(endpoint).forEach(this::lost);
+			this.table.at(endpoint).forEach(this::attemptLost);
 			this.streams.endpointGone(endpoint);
 		}
 	}
 
-	// Ends the attempt of another request at an endpoint that is gone.
-	private void lost(RequestId id) {
+	// Ends the attempt of another request at a lost endpoint.
+	private void attemptLost(RequestId id) {
 		RequestEntity request = this.requests.find(id);
-		if (request != null && !request.ended()) {
+		if (request != null && !request.isEnded()) {
 			request.outcome = AttemptOutcome.LOST;
-			this.attempts.ended(request, AttemptOutcome.LOST);
+			this.attempts.endAttempt(request, AttemptOutcome.LOST);
 		}
 	}
 
@@ -305,7 +306,7 @@
 		if (!request.outcome.isFailure()) {
 			request.outcome = AttemptOutcome.TIMED_OUT;
 		}
-		this.attempts.ended(request, request.outcome);
+		this.attempts.endAttempt(request, request.outcome);
 		String address = this.attempts.address(close.endpoint());
 		if (address != null) {
 			this.commands.accept(new EntryCommand.CancelStream(close.request(), close.endpoint(), address));
@@ -315,23 +316,23 @@
 	private void deliver(RequestEntity request, List<Piece> pieces) {
 		if (request.firstTokenAt == null) {
 			request.firstTokenAt = this.clock.instant();
-			this.attempts.firstToken(request);
+			this.attempts.firstTokenReceived(request);
 		}
 		long tokens = pieces.getLast().toOffset() - pieces.getFirst().fromOffset();
-		this.attempts.tokens(request, Math.toIntExact(tokens));
-		this.counters.generated(tokens);
-		this.answers.pieces(request, pieces);
+		this.attempts.tokensReceived(request, Math.toIntExact(tokens));
+		this.counters.countGenerated(tokens);
+		this.answers.deliverPieces(request, pieces);
 	}
 
 	private void end(RequestEntity request, StreamCommand.End end) {
 		switch (end.end()) {
 			case EndOfAnswer.Complete complete -> {
-				this.attempts.ended(request, AttemptOutcome.COMPLETED);
+				this.attempts.endAttempt(request, AttemptOutcome.COMPLETED);
 				this.answers.end(request,
 						new AnswerPart.EndOfText(end.totalOffset(), promptTokens(request), complete.finishReason()));
 			}
 			case EndOfAnswer.Failed failed -> {
-				this.attempts.ended(request, AttemptOutcome.TIMED_OUT);
+				this.attempts.endAttempt(request, AttemptOutcome.TIMED_OUT);
 				ErrorKind kind = (request.failure != null) ? request.failure : failed.kind();
 				this.answers.fail(request, kind, kind.meaning(), failed.retryAfter());
 			}
@@ -339,7 +340,7 @@
 		this.holds.ended(request.id(), end.totalOffset(), end.end());
 	}
 
-	private EndOfAnswer.Failed failed(ErrorKind kind, RequestEntity request) {
+	private EndOfAnswer.Failed failure(ErrorKind kind, RequestEntity request) {
 		return new EndOfAnswer.Failed(kind, retryAfter(request.service.name()));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/PeerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/PeerSystem.java
@@ -33,7 +33,8 @@
 import org.banyancove.core.suspect.SuspectSystem;
 
 /**
- * What this entry tells the others and learns from them.
+ * Exchanges state with the other entries: supplies this entry's heartbeats and applies
+ * those of its peers.
  */
 final class PeerSystem implements HeartbeatSource, MembershipListener {
 
@@ -47,7 +48,7 @@
 
 	private final SuspectExchange exchange;
 
-	private final Map<Incarnation, List<SuspectRecord>> toTell = new LinkedHashMap<>();
+	private final Map<Incarnation, List<SuspectRecord>> unsentSuspects = new LinkedHashMap<>();
 
 	private final ConfigurationSystem configuration;
 
@@ -76,21 +77,22 @@
 		this.clock = clock;
 	}
 
-	// Tells the peers what changed about suspects since the last call, and a peer that
-	// has missed something what is known.
-	void spreadSuspects(MembershipSystem membership) {
+	// Sends the suspects that changed since the last call to all peers, and all
+	// known suspects to a peer that has missed a change.
+	void sendSuspects(MembershipSystem membership) {
 		Incarnation self = membership.self().incarnation();
 		notices(self, this.suspects.takeChanged()).forEach(membership::suspect);
-		this.toTell
+		this.unsentSuspects
 			.forEach((peer, records) -> notices(self, records).forEach((notice) -> membership.tell(peer, notice)));
-		this.toTell.clear();
+		this.unsentSuspects.clear();
 	}
 
 	private static List<PeerMessage.SuspectNotice> notices(Incarnation self, List<SuspectRecord> records) {
 		List<PeerMessage.SuspectNotice> notices = new ArrayList<>();
 		for (SuspectRecord record : records) {
 			for (Crash crash : record.crashes()) {
-				// A loss that a wave may explain is no word against a request.
+				// A loss that a wave of reclaims may explain is no evidence against
+				// a request.
 				if (!crash.inWave()) {
 					notices.add(new PeerMessage.SuspectNotice(self, text(record.fingerprint()),
 							SuspectVerdict.SUSPECTED, crash.endpoint(), crash.at()));
@@ -116,7 +118,7 @@
 
 	@Override
 	public List<EndpointLoad> takeSent() {
-		List<EndpointLoad> sent = this.attempts.takeSent();
+		List<EndpointLoad> sent = this.attempts.drainSentLoads();
 		sent.sort(Comparator.comparingLong(EndpointLoad::tokens).reversed());
 		return sent;
 	}
@@ -148,7 +150,7 @@
 
 	@Override
 	public void vmLeaving(PeerMessage.LeavingNotice notice) {
-		this.endpointSystem.announced(new EntryEvent.ReclaimNotice(notice.vm(), notice.reclaimAt()));
+		this.endpointSystem.applyNotice(new EntryEvent.ReclaimNotice(notice.vm(), notice.reclaimAt()));
 	}
 
 	@Override
@@ -166,14 +168,15 @@
 		Instant now = this.clock.instant();
 		heartbeat.sent().forEach((load) -> this.endpoints.peerSent(load.endpoint(), load.requests(), now));
 		heartbeat.leavingEndpoints().forEach(this::leaving);
-		List<SuspectRecord> missed = this.exchange.heard(heartbeat.from(), heartbeat.suspectsDigest());
-		if (!missed.isEmpty()) {
-			this.toTell.put(heartbeat.from(), missed);
+		List<SuspectRecord> missing = this.exchange.heard(heartbeat.from(), heartbeat.suspectsDigest());
+		if (!missing.isEmpty()) {
+			this.unsentSuspects.put(heartbeat.from(), missing);
 		}
-		this.configuration.heard(heartbeat);
+		this.configuration.heartbeatReceived(heartbeat);
 	}
 
-	// A heartbeat names no time of the reclaim: it only has to keep new work away.
+	// A heartbeat does not contain the time of the reclaim; it only has to prevent
+	// new requests at the endpoint.
 	private void leaving(EndpointId id) {
 		Endpoint endpoint = this.endpoints.find(id).orElse(null);
 		if (endpoint != null && endpoint.state() == EndpointState.LIVE) {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/PlainCallSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/PlainCallSystem.java
@@ -22,18 +22,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs calls to plain services: those that may be repeated under the retry budget, all
- * others at most once, by a claim on the log.
+ * Runs calls to plain services: repeatable calls with retries under the retry budget, all
+ * others at most once, by a claim in the log.
  */
 final class PlainCallSystem {
 
-	/** A handed over call is claimed and run in about this time. */
-	private static final Duration COME_BACK_UNDER_KEY = Duration.ofSeconds(1);
+	/** A call that was handed over is claimed and run within about this time. */
+	private static final Duration HANDED_OVER_RETRY_AFTER = Duration.ofSeconds(1);
 
-	private static final int FIRST_SERVER_ERROR = 500;
+	private static final int MINIMUM_SERVER_ERROR_STATUS = 500;
 
-	/** Outcomes of plain calls are kept by the ledger, not by the holder. */
-	private static final EndOfAnswer ANSWERED = new EndOfAnswer.Complete("answered");
+	/**
+	 * Ends the copy at the holder without an answer: the ledger stores the outcomes of
+	 * plain calls.
+	 */
+	private static final EndOfAnswer ANSWERED_BY_LEDGER = new EndOfAnswer.Complete("answered");
 
 	private final RequestTable requests;
 
@@ -46,9 +49,9 @@
 	private final HoldSystem holds;
 
 	/**
-	 * The calls that are at an endpoint and may run once only. A caller may be answered
-	 * before its call ends; the outcome must reach the ledger all the same, or every
-	 * repeat under the key would wait for it in vain.
+	 * The at-most-once calls that an endpoint is running. A caller may be answered before
+	 * its call ends; the outcome must still reach the ledger, since every repeat under
+	 * the key would otherwise wait for it indefinitely.
 	 */
 	private final Map<RequestId, RequestEntity> dispatched = new HashMap<>();
 
@@ -67,40 +70,41 @@
 			return;
 		}
 		switch (this.attempts.place(request)) {
-			case Placing.Ready ready -> start(request, ready.placed());
-			case Placing.Refused refused ->
+			case AttemptPlacement.Ready ready -> start(request, ready.placed());
+			case AttemptPlacement.Refused refused ->
 				this.answers.fail(request, refused.kind(), "no endpoint can answer in time", refused.retryAfter());
-			case Placing.Later later -> this.answers.fail(request, ErrorKind.OVERLOADED,
-					"the same call is being tried at another endpoint", later.retryAfter());
-			case Placing.Convicted _ -> this.answers.convicted(request);
+			case AttemptPlacement.Deferred deferred -> this.answers.fail(request, ErrorKind.OVERLOADED,
+					"the same call is being tried at another endpoint", deferred.retryAfter());
+			case AttemptPlacement.Blocked _ -> this.answers.failBlocked(request);
 		}
 	}
 
-	// Claims the key of a call that a second entry holds, or that another entry handed
-	// over before it dispatched it.
+	// Claims the key of a call that a second entry holds too, or that another entry
+	// handed over before dispatching it.
 	void claim(RequestEntity request) {
 		request.phase = RequestPhase.CLAIMING;
 		this.claims.submit(claimRequest(request));
 	}
 
-	// Stops answering for a call that another entry owns now. One that is at its endpoint
-	// already is still answered here, where its outcome comes first.
+	// Fails a call that another entry owns now, so that its caller repeats it. A
+	// call that is already running at an endpoint is still answered here, since
+	// this entry receives its outcome first.
 	void released(RequestEntity request) {
-		if (request.endpoint == null && !request.ended()) {
+		if (request.endpoint == null && !request.isEnded()) {
 			this.answers.fail(request, ErrorKind.CALL_IN_PROGRESS,
-					"the call was handed over to another entry; ask again under its key", COME_BACK_UNDER_KEY);
+					"the call was handed over to another entry; ask again under its key", HANDED_OVER_RETRY_AFTER);
 		}
 	}
 
-	// Sends a call whose intent stands first in the log. No endpoint means that it is
-	// never sent, which the claim then releases.
+	// Sends a call whose intent is the first one for its key in the log. Without an
+	// endpoint the call is never sent, and the claim is released.
 	void dispatch(RequestId id) {
 		RequestEntity request = this.requests.find(id);
-		if (request == null || request.ended()) {
+		if (request == null || request.isEnded()) {
 			this.claims.dispatchEnded(id, new DispatchResult.NeverSent());
 			return;
 		}
-		Invariant.check(request.attempt == 0, "call %s was dispatched before", id);
+		Invariant.check(request.attempt == 0, "call %s was already dispatched", id);
 		dispatch(request);
 	}
 
@@ -108,12 +112,12 @@
 		return this.dispatched.get(id);
 	}
 
-	// Ends a call that may be repeated and whose deadline has passed.
-	void giveUp(RequestEntity request) {
+	// Fails a repeatable call whose deadline has passed.
+	void expire(RequestEntity request) {
 		this.attempts.cancel(request);
-		this.attempts.ended(request, AttemptOutcome.TIMED_OUT);
+		this.attempts.endAttempt(request, AttemptOutcome.TIMED_OUT);
 		this.answers.fail(request, ErrorKind.ENDPOINT_FAILED, "no endpoint answered before the deadline",
-				this.attempts.untilAnyEndpoint(request.service.name()));
+				this.attempts.retryAfterNoEndpoint(request.service.name()));
 	}
 
 	void attemptEnded(RequestEntity request, EntryEvent.AttemptEnded event) {
@@ -127,37 +131,38 @@
 
 	void claimAnswered(RequestId id, ClaimAnswer answer) {
 		RequestEntity request = this.requests.find(id);
-		if (request == null || request.ended()) {
+		if (request == null || request.isEnded()) {
 			return;
 		}
-		this.holds.ended(id, 0, ANSWERED);
+		this.holds.ended(id, 0, ANSWERED_BY_LEDGER);
 		switch (answer) {
-			case ClaimAnswer.FirstRun first -> this.answers.end(request, whole(first.answer(), false));
-			case ClaimAnswer.Repeated repeated -> repeated(request, repeated.answer());
-			case ClaimAnswer.Refused refused -> refused(request, refused);
+			case ClaimAnswer.FirstRun first -> this.answers.end(request, completeAnswer(first.answer(), false));
+			case ClaimAnswer.Repeated repeated -> repeatAnswer(request, repeated.answer());
+			case ClaimAnswer.Refused refused -> claimRejected(request, refused);
 		}
 	}
 
-	// An empty body under the first run's status would read as its whole answer.
-	private void repeated(RequestEntity request, StoredAnswer answer) {
+	// An empty body with the status of the first run would look like its complete
+	// answer.
+	private void repeatAnswer(RequestEntity request, StoredAnswer answer) {
 		if (answer.complete()) {
-			this.answers.end(request, whole(answer, true));
+			this.answers.end(request, completeAnswer(answer, true));
 			return;
 		}
 		this.answers.fail(request, ErrorKind.ANSWER_NOT_KEPT, "the call ran and was answered with status "
 				+ answer.status() + "; the body of that answer is no longer kept", null);
 	}
 
-	private void refused(RequestEntity request, ClaimAnswer.Refused refused) {
+	private void claimRejected(RequestEntity request, ClaimAnswer.Refused refused) {
 		if (refused.kind().execution() == CallExecution.NOT_RUN) {
-			Invariant.check(request.endpoint == null, "call %s is answered not run while an endpoint has it",
-					request.id());
+			Invariant.check(request.endpoint == null,
+					"call %s is answered as not run while an attempt runs at an endpoint", request.id());
 		}
 		this.answers.fail(request, refused.kind(), refused.kind().meaning(), refused.retryAfter());
 	}
 
 	private void dispatch(RequestEntity request) {
-		if (this.attempts.place(request) instanceof Placing.Ready ready) {
+		if (this.attempts.place(request) instanceof AttemptPlacement.Ready ready) {
 			this.dispatched.put(request.id(), request);
 			start(request, ready.placed());
 			return;
@@ -165,29 +170,30 @@
 		this.claims.dispatchEnded(request.id(), new DispatchResult.NeverSent());
 	}
 
-	// Ends a call that may not run twice. A body that surely was never sent may go to
-	// another endpoint under the same claim; anything else is final.
+	// Ends an attempt of an at-most-once call. A call whose body was provably never
+	// sent may go to another endpoint under the same claim; any other result is
+	// final.
 	private void atMostOnceEnded(RequestEntity request, AttemptResult result) {
 		this.dispatched.remove(request.id());
 		switch (result) {
 			case AttemptResult.Answered answered -> {
-				this.attempts.ended(request, AttemptOutcome.COMPLETED);
+				this.attempts.endAttempt(request, AttemptOutcome.COMPLETED);
 				StoredAnswer stored = new StoredAnswer(answered.status(), answered.contentType(), answered.body(),
 						true);
 				this.claims.dispatchEnded(request.id(), new DispatchResult.Completed(stored));
 			}
-			case AttemptResult.NeverSent neverSent -> neverSent(request);
-			case AttemptResult.Refused refused -> unknown(request);
-			case AttemptResult.Broken broken -> unknown(request);
-			case AttemptResult.StreamEnded ended -> unknown(request);
+			case AttemptResult.NeverSent neverSent -> requestNeverSent(request);
+			case AttemptResult.Refused refused -> outcomeUnknown(request);
+			case AttemptResult.Broken broken -> outcomeUnknown(request);
+			case AttemptResult.StreamEnded ended -> outcomeUnknown(request);
 		}
 	}
 
-	private void neverSent(RequestEntity request) {
-		this.attempts.lost(request);
+	private void requestNeverSent(RequestEntity request) {
+		this.attempts.markEndpointGone(request);
 		request.outcome = AttemptOutcome.LOST;
-		this.attempts.ended(request, request.outcome);
-		if (request.ended()) {
+		this.attempts.endAttempt(request, request.outcome);
+		if (request.isEnded()) {
 			this.claims.dispatchEnded(request.id(), new DispatchResult.NeverSent());
 			return;
 		}
@@ -197,42 +203,45 @@
 		}
 	}
 
-	private void unknown(RequestEntity request) {
-		this.attempts.ended(request, AttemptOutcome.LOST);
+	private void outcomeUnknown(RequestEntity request) {
+		this.attempts.endAttempt(request, AttemptOutcome.LOST);
 		this.claims.dispatchEnded(request.id(), new DispatchResult.OutcomeUnknown());
 	}
 
 	private void repeatableEnded(RequestEntity request, AttemptResult result) {
-		if (result instanceof AttemptResult.Answered answered && answered.status() < FIRST_SERVER_ERROR) {
-			this.attempts.ended(request, AttemptOutcome.COMPLETED);
+		if (result instanceof AttemptResult.Answered answered && answered.status() < MINIMUM_SERVER_ERROR_STATUS) {
+			this.attempts.endAttempt(request, AttemptOutcome.COMPLETED);
 			this.answers.end(request,
 					new AnswerPart.Whole(answered.status(), answered.contentType(), answered.body(), false));
 			return;
 		}
 		request.outcome = AttemptOutcome.FAILED;
 		if (result instanceof AttemptResult.NeverSent) {
-			this.attempts.lost(request);
+			this.attempts.markEndpointGone(request);
 			request.outcome = AttemptOutcome.LOST;
 		}
-		this.attempts.ended(request, request.outcome);
+		this.attempts.endAttempt(request, request.outcome);
 		switch (this.attempts.retry(request, false)) {
 			case RetryDecision.Retry _ -> retry(request, result);
-			case RetryDecision.GiveUp giveUp -> giveUp(request, result, giveUp.kind(), giveUp.retryAfter());
+			case RetryDecision.GiveUp giveUp -> fail(request, result, giveUp.kind(), giveUp.retryAfter());
 		}
 	}
 
 	private void retry(RequestEntity request, AttemptResult result) {
 		switch (this.attempts.place(request)) {
-			case Placing.Ready ready -> start(request, ready.placed());
-			// An attempt was sent, so no refusal of the next one can mean "not run".
-			case Placing.Refused refused -> giveUp(request, result, ErrorKind.ENDPOINT_FAILED, refused.retryAfter());
-			case Placing.Later later -> giveUp(request, result, ErrorKind.ENDPOINT_FAILED, later.retryAfter());
-			case Placing.Convicted _ -> this.answers.convicted(request);
+			case AttemptPlacement.Ready ready -> start(request, ready.placed());
+			// An attempt was sent, so a rejection of the next one does not prove
+			// that the call did not run.
+			case AttemptPlacement.Refused refused ->
+				fail(request, result, ErrorKind.ENDPOINT_FAILED, refused.retryAfter());
+			case AttemptPlacement.Deferred deferred ->
+				fail(request, result, ErrorKind.ENDPOINT_FAILED, deferred.retryAfter());
+			case AttemptPlacement.Blocked _ -> this.answers.failBlocked(request);
 		}
 	}
 
-	// Passes on what the service itself said, where it said anything.
-	private void giveUp(RequestEntity request, AttemptResult result, ErrorKind kind, Duration retryAfter) {
+	// Returns the service's own error response if there is one.
+	private void fail(RequestEntity request, AttemptResult result, ErrorKind kind, Duration retryAfter) {
 		if (result instanceof AttemptResult.Answered answered) {
 			this.answers.end(request,
 					new AnswerPart.Whole(answered.status(), answered.contentType(), answered.body(), false));
@@ -254,7 +263,7 @@
 		return new ClaimRequest(request.id(), callKey, new BodyDigest(call.fingerprint()), request.deadline());
 	}
 
-	private static AnswerPart whole(StoredAnswer answer, boolean repeated) {
+	private static AnswerPart completeAnswer(StoredAnswer answer, boolean repeated) {
 		return new AnswerPart.Whole(answer.status(), answer.contentType(), answer.body(), repeated);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ProfileEntryText.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ProfileEntryText.java
@@ -5,35 +5,36 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes what entries tell each other of the profiles' stream as text, and reads it.
+ * Encodes the records and the state of the profiles' stream as text for messages between
+ * entries, and decodes them.
  */
 public interface ProfileEntryText {
 
 	/**
-	 * Writes one record of the stream.
+	 * Encodes a record of the stream.
 	 * @param entry the record
 	 * @return its text
 	 */
 	String write(ProfileEntry entry);
 
 	/**
-	 * Writes the whole state.
+	 * Encodes the complete state.
 	 * @param state the state
 	 * @return its text
 	 */
 	String write(ProfileTableState state);
 
 	/**
-	 * Reads one record of the stream.
+	 * Decodes a record of the stream.
 	 * @param text its text
-	 * @return the record, or {@code null} if the text is none
+	 * @return the record, or {@code null} if the text is not valid
 	 */
 	@Nullable ProfileEntry readEntry(String text);
 
 	/**
-	 * Reads the whole state.
+	 * Decodes the complete state.
 	 * @param text its text
-	 * @return the state, or {@code null} if the text is none
+	 * @return the state, or {@code null} if the text is not valid
 	 */
 	@Nullable ProfileTableState readState(String text);
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ProfileReaders.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ProfileReaders.java
@@ -12,23 +12,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses which entries of a data center read the profiles' stream. A reader tells its
- * followers each time it has read to the log's end, with what it found.
+ * Selects the entries of a data center that read the profiles' stream. A reader notifies
+ * its followers each time it has read to the end of the log, and sends them the records
+ * it read.
  * <p>
- * Failure: the readers are dead, cut off from the platform or slow, and their followers
- * miss a change that is in force elsewhere. A follower sees only that nobody tells it of
- * the log's end, and then reads for itself. That is enough, whoever believes what about
- * the choice: an entry that is not told always reads.
+ * Failure: the readers have failed, cannot reach the platform or are slow, and their
+ * followers miss a change that is effective elsewhere. A follower that receives no
+ * notification of the end of the log reads the stream itself. This is sufficient even if
+ * entries disagree about the selection: an entry that is not notified always reads.
  */
 final class ProfileReaders {
 
 	/**
-	 * A reader tells its followers at least once in a read's wait at the log, 5 s by
-	 * default. A change has to be in force within 12 s.
+	 * A reader notifies its followers at least once per long poll of the log, which waits
+	 * for 5 s by default. A change must be effective within 12 s.
 	 */
-	static final Duration PATIENCE = Duration.ofSeconds(8);
+	static final Duration NOTIFICATION_TIMEOUT = Duration.ofSeconds(8);
 
-	private static final String KEY = "profiles";
+	private static final String RENDEZVOUS_KEY = "profiles";
 
 	private final PeerState self;
 
@@ -38,19 +39,19 @@
 
 	private final InstantSource clock;
 
-	private long tableChanges = -1;
+	private long appliedTableChanges = -1;
 
 	private List<PeerState> readers = List.of();
 
 	private List<PeerState> followers = List.of();
 
-	private @Nullable Instant toldAt;
+	private @Nullable Instant endReportedAt;
 
 	/**
-	 * Creates the choice.
+	 * Creates the selection for an entry.
 	 * @param self this entry
-	 * @param peers the entries
-	 * @param count the readers of a data center, 0 for all of its entries
+	 * @param peers the table of entries
+	 * @param count the number of readers of a data center, 0 for all of its entries
 	 * @param clock the clock
 	 */
 	ProfileReaders(PeerState self, PeerTable peers, int count, InstantSource clock) {
@@ -60,21 +61,22 @@
 		this.clock = clock;
 	}
 
-	boolean reads() {
+	boolean shouldRead() {
 		refresh();
-		Instant told = this.toldAt;
-		return this.count == 0 || isReader(this.self) || told == null
-				|| told.plus(PATIENCE).isBefore(this.clock.instant());
+		Instant lastReport = this.endReportedAt;
+		return this.count == 0 || isReader(this.self) || lastReport == null
+				|| lastReport.plus(NOTIFICATION_TIMEOUT).isBefore(this.clock.instant());
 	}
 
-	// Another entry has just read to the log's end, and this one knows what it read.
-	void told() {
-		this.toldAt = this.clock.instant();
+	// Records that another entry has just read to the end of the log, and that this
+	// entry has applied all that it read.
+	void endReported() {
+		this.endReportedAt = this.clock.instant();
 	}
 
 	/**
-	 * Returns whom this entry tells what it reads.
-	 * @return the followers, none where this entry is no reader
+	 * Returns the entries that this entry notifies of what it reads.
+	 * @return the followers, none if this entry is not a reader
 	 */
 	List<PeerState> followers() {
 		refresh();
@@ -82,18 +84,21 @@
 	}
 
 	private void refresh() {
-		if (this.peers.changes() == this.tableChanges) {
+		if (this.peers.changes() == this.appliedTableChanges) {
 			return;
 		}
-		this.tableChanges = this.peers.changes();
+		this.appliedTableChanges = this.peers.changes();
 		List<PeerState> living = this.peers.living(this.self.dataCenter());
 		List<PeerState> candidates = living.stream().filter((peer) -> peer.status() == PeerStatus.ALIVE).toList();
-		this.readers = Rendezvous.rank(KEY, candidates, ProfileReaders::name).stream().limit(this.count).toList();
-		this.followers = living.stream().filter(this::follows).toList();
+		this.readers = Rendezvous.rank(RENDEZVOUS_KEY, candidates, ProfileReaders::name)
+			.stream()
+			.limit(this.count)
+			.toList();
+		this.followers = living.stream().filter(this::isFollower).toList();
 	}
 
-	// Each follower has one reader, so that no two tell it the same.
-	private boolean follows(PeerState peer) {
+	// Each follower has one reader, so that it is not notified twice.
+	private boolean isFollower(PeerState peer) {
 		PeerState reader = Rendezvous.first(name(peer), this.readers, ProfileReaders::name);
 		return !isReader(peer) && reader != null && reader.incarnation().equals(this.self.incarnation());
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/Prompt.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/Prompt.java
@@ -7,17 +7,17 @@
 import org.banyancove.core.routing.PromptPrefix;
 
 /**
- * What placement needs to know of a model request's prompt.
+ * The properties of a model request's prompt that determine its placement.
  *
- * @param tokens the prompt's length in tokens, estimated by its words
+ * @param tokens the prompt's length in tokens, estimated as its number of words
  * @param prefixes the digests of its prefixes, shortest first
- * @param maximumTokens the most tokens that the answer may have
+ * @param maximumTokens the maximum number of tokens of the answer
  */
 public record Prompt(int tokens, List<PromptPrefix> prefixes, int maximumTokens) {
 
-	private static final int SHORTEST_PREFIX = 64;
+	private static final int MINIMUM_PREFIX_WORDS = 64;
 
-	private static final int DIGEST_DIGITS = 16;
+	private static final int DIGEST_HEXADECIMAL_DIGITS = 16;
 
 	/**
 	 * Creates the prompt with an immutable copy of the prefixes.
@@ -27,17 +27,18 @@
 	}
 
 	/**
-	 * Reads a prompt from its text: prefixes have 64 words and each doubling of it.
+	 * Creates a prompt from its text, with prefixes of 64 words, 128 words and so on,
+	 * doubling up to its length.
 	 * @param text the text of all messages in order
-	 * @param maximumTokens the most tokens that the answer may have
+	 * @param maximumTokens the maximum number of tokens of the answer
 	 * @return the prompt
 	 */
 	public static Prompt of(String text, int maximumTokens) {
 		List<String> words = words(text);
 		List<PromptPrefix> prefixes = new ArrayList<>();
-		for (int length = SHORTEST_PREFIX; length <= words.size(); length *= 2) {
+		for (int length = MINIMUM_PREFIX_WORDS; length <= words.size(); length *= 2) {
 			String prefix = String.join(" ", words.subList(0, length));
-			String digest = Body.of(prefix).digest().substring(0, DIGEST_DIGITS);
+			String digest = Body.of(prefix).digest().substring(0, DIGEST_HEXADECIMAL_DIGITS);
 			prefixes.add(PromptPrefix.ofHex(digest, length));
 		}
 		return new Prompt(words.size(), prefixes, maximumTokens);
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AdmissionFlow.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestAdmission.java
@@ -10,13 +10,16 @@
 import org.banyancove.core.peer.CallKind;
 
 /**
- * Lets requests in as their accounts' fair shares allow, and gives their places back when
- * they end.
+ * Admits requests within the fair share of their client account, and releases their
+ * capacity when they end.
  */
-final class AdmissionFlow {
+final class RequestAdmission {
 
-	/** A plain call takes about what a model takes for this many tokens. */
-	private static final double PLAIN_COST = 1;
+	/**
+	 * The cost of a plain call in tokens: it occupies an endpoint for about as long as a
+	 * model request of this many tokens.
+	 */
+	private static final double PLAIN_CALL_COST = 1;
 
 	private static final double EQUAL_WEIGHT = 1;
 
@@ -28,7 +31,7 @@
 
 	private final Consumer<RequestEntity> begin;
 
-	AdmissionFlow(AdmissionSystem admission, RequestTable requests, AnswerSystem answers,
+	RequestAdmission(AdmissionSystem admission, RequestTable requests, AnswerSystem answers,
 			Consumer<RequestEntity> begin) {
 		this.admission = admission;
 		this.requests = requests;
@@ -36,43 +39,44 @@
 		this.begin = begin;
 	}
 
-	// A call that may run once waits for the log far longer than its endpoint takes. If
-	// it held a place meanwhile, places would seem full at endpoints that are idle,
-	// whose limits would then never rise: 384 of 400 bookings were refused so. It is
-	// let in at once; its claims are bounded by the ledger.
+	// An at-most-once call waits for the log far longer than its endpoint needs to
+	// run it. If it occupied capacity during that wait, idle endpoints would appear
+	// full and their limits would never rise: 384 of 400 calls were rejected for
+	// this reason. Such a call is therefore admitted at once; the ledger limits the
+	// number of claims.
 	void offer(RequestEntity request) {
 		if (request.kind() == CallKind.AT_MOST_ONCE) {
 			this.begin.accept(request);
 			return;
 		}
-		decided(this.admission.offer(admissionRequest(request)));
+		apply(this.admission.offer(admissionRequest(request)));
 	}
 
-	// Takes a waiting request out of the queue.
+	// Removes a waiting request from the queue.
 	void cancel(RequestEntity request) {
 		this.admission.cancelled(request.service.name(), request.id());
 	}
 
 	void tick() {
-		this.admission.tick().forEach(this::decided);
-		settle();
+		this.admission.tick().forEach(this::apply);
+		releaseEnded();
 	}
 
-	// Gives back the places of requests that ended. It runs after each event and not at
-	// each end, since a request that is let in can itself end at once.
-	void settle() {
-		List<RequestEntity> ended = this.requests.takeEnded();
+	// Releases the capacity of requests that ended. It runs after each event and
+	// not at each end, since an admitted request can itself end at once.
+	void releaseEnded() {
+		List<RequestEntity> ended = this.requests.drainEnded();
 		while (!ended.isEmpty()) {
 			List<AdmissionDecision> decisions = new ArrayList<>();
 			for (RequestEntity request : ended) {
 				decisions.addAll(this.admission.released(request.service.name(), request.id()));
 			}
-			decisions.forEach(this::decided);
-			ended = this.requests.takeEnded();
+			decisions.forEach(this::apply);
+			ended = this.requests.drainEnded();
 		}
 	}
 
-	private void decided(AdmissionDecision decision) {
+	private void apply(AdmissionDecision decision) {
 		RequestEntity request = this.requests.find(decision.request());
 		if (request == null || request.phase != RequestPhase.WAITING) {
 			return;
@@ -88,7 +92,7 @@
 
 	private static AdmissionRequest admissionRequest(RequestEntity request) {
 		Prompt prompt = request.call.prompt();
-		double cost = (prompt != null) ? prompt.tokens() + prompt.maximumTokens() : PLAIN_COST;
+		double cost = (prompt != null) ? prompt.tokens() + prompt.maximumTokens() : PLAIN_CALL_COST;
 		return new AdmissionRequest(request.id(), request.call.account(), request.service.name(), request.profile,
 				request.arrivedAt, cost, EQUAL_WEIGHT);
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/RequestEntity.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestEntity.java
@@ -22,10 +22,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request that this entry owns.
+ * A request that this entry owns.
  * <p>
- * It keeps the profile and service under which it was accepted, whatever the operators
- * publish later.
+ * It keeps the profile and service under which it was accepted, also when a later
+ * revision is published.
  */
 final class RequestEntity {
 
@@ -43,10 +43,13 @@
 
 	final Fingerprint fingerprint;
 
-	/** What each waiting caller has got. */
+	/** The read position of each waiting caller. */
 	final Map<SubscriberId, AnswerReader> subscribers = new HashMap<>();
 
-	/** The endpoints that failed the request or were leaving when it was placed. */
+	/**
+	 * The endpoints excluded from further attempts: they failed the request, or were
+	 * leaving when it was placed.
+	 */
 	final Set<EndpointId> excluded = new HashSet<>();
 
 	RequestPhase phase = RequestPhase.WAITING;
@@ -54,27 +57,33 @@
 	/** The answer of a model request that has a stream. */
 	@Nullable AnswerBuffer answer;
 
-	/** The last decision of placement, used when an attempt starts there. */
+	/** The last placement decision, used if the attempt starts at its endpoint. */
 	PlacementDecision.@Nullable Placed placed;
 
-	/** The number of the last connection to an endpoint, from one. */
+	/** The number of the last connection to an endpoint; the first one is 1. */
 	int attempt;
 
-	/** How often it was sent to be run; asking for its stream anew is not counted. */
-	int timesSent;
+	/**
+	 * How many times the request was sent to be run; a reattach to its stream is not
+	 * counted.
+	 */
+	int sendCount;
 
 	@Nullable EndpointId endpoint;
 
-	/** What the current attempt sent. */
-	@Nullable AttemptRequest content;
+	/** The request of the current attempt. */
+	@Nullable AttemptRequest attemptRequest;
 
-	/** How the last attempt failed, {@code CANCELLED} where it did not. */
+	/** How the last attempt failed, {@code CANCELLED} if it did not fail. */
 	AttemptOutcome outcome = AttemptOutcome.CANCELLED;
 
-	/** Why the request is given up on, where this entry knows better than its stream. */
+	/**
+	 * The error that replaces the one of the stream, if this entry knows the cause more
+	 * precisely.
+	 */
 	@Nullable ErrorKind failure;
 
-	@Nullable AnswerPart last;
+	@Nullable AnswerPart finalPart;
 
 	@Nullable Instant firstTokenAt;
 
@@ -94,7 +103,7 @@
 		return this.call.id();
 	}
 
-	boolean ended() {
+	boolean isEnded() {
 		return this.phase == RequestPhase.ENDED;
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/RequestPhase.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestPhase.java
@@ -1,17 +1,17 @@
 package org.banyancove.core.entry;
 
 /**
- * How far a request has come at this entry.
+ * The processing phase of a request at this entry.
  */
 enum RequestPhase {
 
 	/** The request waits for its fair share of the service's capacity. */
 	WAITING,
 
-	/** The request waits until another entry holds it too. */
+	/** The request waits until another entry holds a copy. */
 	HOLDING,
 
-	/** The request waits until the log shows that it may run. */
+	/** The request waits until the log confirms its claim to run. */
 	CLAIMING,
 
 	/** An attempt runs at an endpoint. */
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/RequestSamples.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestSamples.java
@@ -7,7 +7,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Judges ended requests by the targets of the profile under which they were accepted.
+ * Evaluates ended requests against the targets of the profile under which they were
+ * accepted.
  */
 final class RequestSamples {
 
@@ -20,21 +21,21 @@
 		String errorCode = (last instanceof AnswerPart.Failure failure) ? failure.kind().code() : null;
 		return new RequestSample(endedAt, request.id(), request.call.account(), request.service.name(),
 				request.profile.name(), (firstToken != null) ? firstToken.toMillis() : null, total.toMillis(),
-				isMet(request, last, firstToken, total), errorCode);
+				meetsTargets(request, last, firstToken, total), errorCode);
 	}
 
-	private static boolean isMet(RequestEntity request, AnswerPart last, @Nullable Duration firstToken,
+	private static boolean meetsTargets(RequestEntity request, AnswerPart last, @Nullable Duration firstToken,
 			Duration total) {
 		Duration target = request.profile.firstTokenTarget();
 		return switch (last) {
 			case AnswerPart.Whole _ -> total.compareTo(target) <= 0;
 			case AnswerPart.EndOfText end -> firstToken != null && firstToken.compareTo(target) <= 0
-					&& isFast(end, total.minus(firstToken), request.profile.tokenTarget());
+					&& meetsTokenTarget(end, total.minus(firstToken), request.profile.tokenTarget());
 			case AnswerPart.Failure _, AnswerPart.Accepted _, AnswerPart.StartedOver _, AnswerPart.Text _ -> false;
 		};
 	}
 
-	private static boolean isFast(AnswerPart.EndOfText end, Duration generating, Duration tokenTarget) {
+	private static boolean meetsTokenTarget(AnswerPart.EndOfText end, Duration generating, Duration tokenTarget) {
 		long gaps = Math.max(1, end.tokens() - 1);
 		return generating.compareTo(tokenTarget.multipliedBy(gaps)) <= 0;
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/RequestTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestTable.java
@@ -16,9 +16,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The requests that this entry owns, and the ended ones whose callers may come back.
+ * The requests that this entry owns, and the ended ones whose callers may reconnect.
  * <p>
- * Ended answers are kept for a time and up to a number of bytes, oldest first out.
+ * Ended requests are retained for a limited time and up to a total size; the oldest are
+ * evicted first.
  */
 final class RequestTable {
 
@@ -29,36 +30,36 @@
 
 	private final Deque<RequestEntity> ended = new ArrayDeque<>();
 
-	private final Duration keepEnded;
+	private final Duration retention;
 
-	private final long keepEndedBytes;
+	private final long maximumEndedBytes;
 
-	private List<RequestEntity> justEnded = new ArrayList<>();
+	private List<RequestEntity> newlyEnded = new ArrayList<>();
 
 	private long endedBytes;
 
 	private int running;
 
-	RequestTable(Duration keepEnded, long keepEndedBytes) {
-		this.keepEnded = keepEnded;
-		this.keepEndedBytes = keepEndedBytes;
+	RequestTable(Duration retention, long maximumEndedBytes) {
+		this.retention = retention;
+		this.maximumEndedBytes = maximumEndedBytes;
 	}
 
 	void add(RequestEntity request) {
 		RequestEntity other = this.requests.putIfAbsent(request.id(), request);
-		Invariant.check(other == null, "request %s arrived twice under one identifier", request.id());
+		Invariant.check(other == null, "request identifier %s is already in use", request.id());
 		this.byDeadline.add(request);
 		this.running++;
 	}
 
-	// Forgets a request that another entry answers now.
+	// Removes a request that another entry owns now.
 	void remove(RequestEntity request) {
 		this.requests.remove(request.id(), request);
 		this.byDeadline.remove(request);
-		if (!request.ended()) {
+		if (!request.isEnded()) {
 			request.phase = RequestPhase.ENDED;
 			this.running--;
-			this.justEnded.add(request);
+			this.newlyEnded.add(request);
 		}
 	}
 
@@ -75,56 +76,57 @@
 	}
 
 	void end(RequestEntity request, AnswerPart last, Instant now) {
-		Invariant.check(!request.ended(), "request %s ended twice", request.id());
+		Invariant.check(!request.isEnded(), "request %s ended twice", request.id());
 		request.phase = RequestPhase.ENDED;
-		request.last = last;
+		request.finalPart = last;
 		request.endedAt = now;
 		this.running--;
 		this.ended.add(request);
-		this.justEnded.add(request);
-		this.endedBytes += bytes(request);
-		dropOldest(now);
+		this.newlyEnded.add(request);
+		this.endedBytes += retainedBytes(request);
+		evictEnded(now);
 	}
 
 	/**
-	 * Removes the requests whose deadline has passed from the queue of deadlines.
-	 * @param now the time
-	 * @return those of them that still run
+	 * Removes the requests whose deadline has passed from the deadline queue.
+	 * @param now the current time
+	 * @return the removed requests that have not ended
 	 */
-	List<RequestEntity> takeOverdue(Instant now) {
-		List<RequestEntity> overdue = new ArrayList<>();
+	List<RequestEntity> removeExpired(Instant now) {
+		List<RequestEntity> expired = new ArrayList<>();
 		while (!this.byDeadline.isEmpty() && !this.byDeadline.peek().deadline().isAfter(now)) {
 			RequestEntity request = this.byDeadline.remove();
-			if (!request.ended()) {
-				overdue.add(request);
+			if (!request.isEnded()) {
+				expired.add(request);
 			}
 		}
-		return overdue;
+		return expired;
 	}
 
-	List<RequestEntity> takeEnded() {
-		List<RequestEntity> taken = this.justEnded;
-		this.justEnded = new ArrayList<>();
-		return taken;
+	List<RequestEntity> drainEnded() {
+		List<RequestEntity> drained = this.newlyEnded;
+		this.newlyEnded = new ArrayList<>();
+		return drained;
 	}
 
-	void dropOldest(Instant now) {
-		while (!this.ended.isEmpty() && isTooMuch(this.ended.peek(), now)) {
+	void evictEnded(Instant now) {
+		while (!this.ended.isEmpty() && exceedsRetention(this.ended.peek(), now)) {
 			RequestEntity oldest = this.ended.remove();
 			this.requests.remove(oldest.id());
-			this.endedBytes -= bytes(oldest);
+			this.endedBytes -= retainedBytes(oldest);
 		}
 	}
 
-	private boolean isTooMuch(RequestEntity oldest, Instant now) {
+	private boolean exceedsRetention(RequestEntity oldest, Instant now) {
 		Instant endedAt = oldest.endedAt;
-		return this.endedBytes > this.keepEndedBytes || endedAt == null || endedAt.plus(this.keepEnded).isBefore(now);
+		return this.endedBytes > this.maximumEndedBytes || endedAt == null
+				|| endedAt.plus(this.retention).isBefore(now);
 	}
 
-	private static long bytes(RequestEntity request) {
+	private static long retainedBytes(RequestEntity request) {
 		long characters = (request.answer != null) ? request.answer.characters() : 0;
-		long whole = (request.last instanceof AnswerPart.Whole answer) ? answer.body().length() : 0;
-		return request.call.body().length() + characters + whole;
+		long bodyBytes = (request.finalPart instanceof AnswerPart.Whole answer) ? answer.body().length() : 0;
+		return request.call.body().length() + characters + bodyBytes;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/SubscriberId.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/SubscriberId.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.entry;
 
 /**
- * One caller's open connection that waits for an answer at this entry.
+ * Identifies the open connection of a caller that waits for an answer at this entry.
  *
  * @param value the number, unique within the process
  */
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/TraceLine.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/TraceLine.java
@@ -3,16 +3,16 @@
 import java.time.Instant;
 
 /**
- * One line of a recorded run.
+ * A line of a recorded trace.
  */
 public sealed interface TraceLine {
 
 	/**
-	 * The start of the run.
+	 * The start of the recorded process.
 	 *
 	 * @param at the time of the start
-	 * @param identity who and where the entry is
-	 * @param seed the seed of its random choices
+	 * @param identity the identity of the entry
+	 * @param seed the seed of its random numbers
 	 */
 	record Start(Instant at, EntryIdentity identity, long seed) implements TraceLine {
 
@@ -21,7 +21,7 @@
 	/**
 	 * An event that was handled.
 	 *
-	 * @param at the time that the core saw
+	 * @param at the time that the core's clock returned
 	 * @param event the event
 	 */
 	record Handled(Instant at, EntryEvent event) implements TraceLine {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The entry daemon's decisions: events in, commands out, all state in tables, on one
- * thread.
+ * Decision logic of the entry daemon: a deterministic, single-threaded core that handles
+ * events and issues commands, with all state in tables.
  */
 @NullMarked
 package org.banyancove.core.entry;
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/AnswerPartTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/AnswerPartTests.java
@@ -10,15 +10,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a final error tells its caller.
+ * Tests for {@link AnswerPart.Failure}.
  */
 class AnswerPartTests {
 
-	// A request that crashes engines is stopped while its stream is open. Its final
-	// answer named a time to come back, so a well-behaved client sent it again.
+	// Guards against a retry delay on an error for which a retry is useless. A
+	// request that crashes engines is stopped while its stream is open; if its
+	// final error carries a retry delay, a well-behaved client sends the request
+	// again.
 	@ParameterizedTest
 	@EnumSource
-	void aTimeToComeBackIsOnlyNamedWhereComingBackHelps(ErrorKind kind) {
+	void retryAfterIsDroppedWhereRetryIsUseless(ErrorKind kind) {
 		AnswerPart.Failure failure = new AnswerPart.Failure(kind, kind.meaning(), Duration.ofSeconds(1));
 		if (kind.repetition() == Repetition.USELESS) {
 			assertThat(failure.retryAfter()).isNull();
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/AttemptSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/AttemptSystemTests.java
@@ -36,7 +36,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Which attempts an entry makes again, and at whose cost.
+ * Tests for {@link AttemptSystem}.
  */
 class AttemptSystemTests {
 
@@ -63,36 +63,37 @@
 			new PlacementSystem(this.endpoints, CLOCK, new Random(1)), this.suspects, CLOCK, this.commands::add,
 			new EntryCounters(), DATA_CENTER);
 
-	// Before dawn a few plans run, so their service has earned hardly a retry. An
-	// engine's process vanishes without a notice and all its plans are accepted work:
-	// each is sent again, since their load went with the engine. One after the other
-	// was given up on once the budget was spent.
+	// Guards against accepted requests that fail once the retry budget is spent.
+	// With few requests the service has earned almost no retries when an engine's
+	// process ends without notice. All its requests were accepted, so each is
+	// retried; the retries add no load, since that of the lost engine is gone.
 	@Test
-	void whatALostEngineRanIsSentAgainWhateverTheBudget() {
+	void requestsOfLostEngineAreRetriedBeyondBudget() {
 		for (int number = 0; number < 50; number++) {
 			RequestEntity request = started("plan-" + number, "engine-1");
-			this.attempts.ended(request, AttemptOutcome.LOST);
+			this.attempts.endAttempt(request, AttemptOutcome.LOST);
 			request.outcome = AttemptOutcome.LOST;
 			assertThat(this.attempts.retry(request, false)).as(request.id().value())
 				.isInstanceOf(RetryDecision.Retry.class);
 		}
 	}
 
-	// An engine's stream breaks off. It is asked for over a new connection before the
-	// engine is known to be gone, twice over. Only what was sent to run counts as an
-	// attempt: two engines lost that way leave the third one to try.
+	// Guards against reattaches that use up the retries of a request. A stream's
+	// connection fails, and the entry reattaches to the stream before it detects
+	// that the engine is lost; this happens at two engines. Only requests sent to
+	// be run count as attempts, so a third engine may still be tried.
 	@Test
-	void askingForAStreamOverANewConnectionIsNoAttempt() {
+	void reattachIsNotCountedAsAttempt() {
 		RequestEntity request = started("plan", "engine-1");
 		this.attempts.reattach(request, new EndpointId("engine-1"), 2, 0);
-		this.attempts.ended(request, AttemptOutcome.LOST);
+		this.attempts.endAttempt(request, AttemptOutcome.LOST);
 		start(request, "engine-2", 3);
 		this.attempts.reattach(request, new EndpointId("engine-2"), 4, 0);
-		this.attempts.ended(request, AttemptOutcome.LOST);
+		this.attempts.endAttempt(request, AttemptOutcome.LOST);
 		request.outcome = AttemptOutcome.LOST;
 		assertThat(this.attempts.retry(request, false)).isInstanceOf(RetryDecision.Retry.class);
 		start(request, "engine-3", 5);
-		this.attempts.ended(request, AttemptOutcome.LOST);
+		this.attempts.endAttempt(request, AttemptOutcome.LOST);
 		assertThat(this.attempts.retry(request, false)).isInstanceOf(RetryDecision.GiveUp.class);
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/EntryRandomisedTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/EntryRandomisedTests.java
@@ -10,10 +10,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Six whole entries in three data centers under random faults. Callers see each plan
- * whole, each booking at most once and no "not run" that is untrue, whatever happens in
- * whatever order; faults of every kind come at any time, together and twice. Another seed
- * and length: {@code -Dbanyancove.seed=… -Dbanyancove.seconds=…}.
+ * Randomised tests of six complete entries in three data centers. Faults of every kind
+ * are injected at any time, concurrently and repeatedly. Callers must receive each plan
+ * completely or a final error, each booking must run at most once, and no booking that
+ * ran may be reported as not run. To use another seed and duration:
+ * {@code -Dbanyancove.seed=… -Dbanyancove.seconds=…}.
  */
 class EntryRandomisedTests {
 
@@ -22,7 +23,7 @@
 	private static final Duration ACTIVE = Duration.ofSeconds(Long.getLong("banyancove.seconds", 30));
 
 	@Property(tries = 4, seed = "20261202")
-	void promisesHoldUnderFaults(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+	void guaranteesHoldUnderFaults(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
 		long chosen = (SEED != 0) ? SEED : seed;
 		EntryRun run = new EntryRun(chosen);
 		run.advance(Duration.ofSeconds(5));
@@ -32,24 +33,26 @@
 	}
 
 	@Property(tries = 1, seed = "1")
-	void everythingIsServedWithoutFaults() {
+	void allRequestsCompleteWithoutFaults() {
 		EntryRun run = new EntryRun(1);
 		run.advance(Duration.ofSeconds(5));
 		run.run(Duration.ofSeconds(20), 0);
 		System.out.println("entry run without faults: " + run.summary());
 		check(run);
-		assertThat(run.callers).allMatch(FakeCaller::isWhole);
+		assertThat(run.callers).allMatch(FakeCaller::isComplete);
 	}
 
 	private static void check(EntryRun run) {
 		for (FakeCaller caller : run.callers) {
-			assertThat(caller.isWhole() || caller.isFailed()).as("%s got its final answer, is %s", caller.key(), caller)
+			assertThat(caller.isComplete() || caller.isFailed())
+				.as("%s got its final answer, is %s", caller.key(), caller)
 				.isTrue();
 			if (caller.isBooking()) {
 				assertThat(run.endpoints.runs(caller.key())).as("runs of %s", caller.key()).isLessThanOrEqualTo(1);
 			}
-			if (caller.isBooking() && caller.isSurelyNotRun()) {
-				assertThat(run.endpoints.runs(caller.key())).as("runs of %s, told not run", caller.key()).isZero();
+			if (caller.isBooking() && caller.isReportedNotRun()) {
+				assertThat(run.endpoints.runs(caller.key())).as("runs of %s, reported as not run", caller.key())
+					.isZero();
 			}
 		}
 		for (FakeEntry entry : run.entries) {
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/EntryRun.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/EntryRun.java
@@ -20,8 +20,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Whole entries in three data centers over fakes of the log, the network, engines and
- * plain services, with faults of every kind at random times.
+ * A simulation of complete entries in three data centers, with fakes of the log, the
+ * network, engines and plain services, and with faults of every kind at random times.
  */
 final class EntryRun {
 
@@ -47,7 +47,7 @@
 
 	final List<FakeCaller> callers = new ArrayList<>();
 
-	private final Map<String, Instant> cutUntil = new HashMap<>();
+	private final Map<String, Instant> partitionedUntil = new HashMap<>();
 
 	private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
@@ -89,13 +89,14 @@
 		return this.random.nextDouble() < probability;
 	}
 
-	// Runs callers and faults for a time, then lets everything heal and end.
+	// Runs callers and faults for the given duration, then ends all faults and
+	// waits for the remaining calls.
 	void run(Duration active, double faultsPerSecond) {
 		Instant end = this.now.plus(active);
 		scheduleCall(end);
 		scheduleFault(end, faultsPerSecond);
 		advance(active);
-		heal();
+		endFaults();
 		advance(Duration.ofSeconds(150));
 	}
 
@@ -109,10 +110,10 @@
 		this.now = end;
 	}
 
-	boolean isCut(FakeEntry first, FakeEntry second) {
+	boolean isPartitioned(FakeEntry first, FakeEntry second) {
 		String pair = Math.min(first.dataCenter(), second.dataCenter()) + "-"
 				+ Math.max(first.dataCenter(), second.dataCenter());
-		return this.cutUntil.getOrDefault(pair, Instant.MIN).isAfter(this.now);
+		return this.partitionedUntil.getOrDefault(pair, Instant.MIN).isAfter(this.now);
 	}
 
 	FakeEntry anyEntry() {
@@ -129,11 +130,11 @@
 	}
 
 	String summary() {
-		long whole = this.callers.stream().filter(FakeCaller::isWhole).count();
+		long complete = this.callers.stream().filter(FakeCaller::isComplete).count();
 		long failed = this.callers.stream().filter(FakeCaller::isFailed).count();
-		long open = this.callers.size() - whole - failed;
-		return "calls %d, whole %d, failed %d %s, open %d, keys run %d, faults %s".formatted(this.callers.size(), whole,
-				failed, failures(), open, this.endpoints.keysRun(), this.faults);
+		long open = this.callers.size() - complete - failed;
+		return "calls %d, whole %d, failed %d %s, open %d, keys run %d, faults %s".formatted(this.callers.size(),
+				complete, failed, failures(), open, this.endpoints.keysRun(), this.faults);
 	}
 
 	private Map<String, Integer> failures() {
@@ -151,7 +152,7 @@
 		RequestId id = new RequestId("call-" + this.callers.size());
 		FakeCaller caller = chance(0.5) ? FakeCaller.plan(this, id) : FakeCaller.booking(this, id);
 		this.callers.add(caller);
-		caller.begin();
+		caller.start();
 		after(10, 120, () -> scheduleCall(end));
 	}
 
@@ -178,7 +179,7 @@
 			case DATA_CENTERS_CUT -> {
 				int first = this.random.nextInt(2);
 				int second = this.random.nextInt(first + 1, 3);
-				this.cutUntil.put(first + "-" + second, this.now.plusSeconds(this.random.nextInt(1, 15)));
+				this.partitionedUntil.put(first + "-" + second, this.now.plusSeconds(this.random.nextInt(1, 15)));
 			}
 			case ENDPOINT_RECLAIMED -> this.endpoints.reclaim();
 			case ENDPOINT_CRASHED -> this.endpoints.crash();
@@ -192,10 +193,10 @@
 		}
 	}
 
-	private void heal() {
-		this.cutUntil.clear();
-		this.platform.heal();
-		this.endpoints.heal();
+	private void endFaults() {
+		this.partitionedUntil.clear();
+		this.platform.endFaults();
+		this.endpoints.endFaults();
 	}
 
 	static DataCenterName dataCenter(int index) {
@@ -215,7 +216,7 @@
 	}
 
 	/**
-	 * What can go wrong.
+	 * The kinds of injected faults.
 	 */
 	enum FaultKind {
 
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/FakeCaller.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/FakeCaller.java
@@ -14,12 +14,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A caller that sends one request, comes back when its connection breaks, and checks
+ * A caller that sends one request, reconnects when its connection fails, and verifies
  * every part of the answer.
  */
 final class FakeCaller {
 
-	private static final int MOST_SENDS = 12;
+	private static final int MAXIMUM_SENDS = 12;
 
 	private final EntryRun run;
 
@@ -37,11 +37,11 @@
 
 	private boolean accepted;
 
-	private boolean everUncertain;
+	private boolean mayHaveRun;
 
 	private @Nullable FakeEntry entry;
 
-	private @Nullable AnswerPart last;
+	private @Nullable AnswerPart finalPart;
 
 	private FakeCaller(EntryRun run, RequestId id, boolean plan) {
 		this.run = run;
@@ -58,16 +58,16 @@
 		return new FakeCaller(run, id, false);
 	}
 
-	boolean isWhole() {
-		return this.last instanceof AnswerPart.EndOfText || this.last instanceof AnswerPart.Whole;
+	boolean isComplete() {
+		return this.finalPart instanceof AnswerPart.EndOfText || this.finalPart instanceof AnswerPart.Whole;
 	}
 
 	boolean isFailed() {
-		return this.last instanceof AnswerPart.Failure;
+		return this.finalPart instanceof AnswerPart.Failure;
 	}
 
 	ErrorKind failure() {
-		return ((AnswerPart.Failure) Objects.requireNonNull(this.last)).kind();
+		return ((AnswerPart.Failure) Objects.requireNonNull(this.finalPart)).kind();
 	}
 
 	boolean isBooking() {
@@ -80,32 +80,32 @@
 		return "plan " + this.plan + " sends " + this.sends + " accepted " + this.accepted + " next " + this.nextOffset
 				+ " at " + ((this.entry != null) ? this.entry.address() : "none") + " phase "
 				+ ((request != null) ? request.phase + " attempt " + request.attempt + " endpoint " + request.endpoint
-						+ " content " + request.content : "none");
+						+ " content " + request.attemptRequest : "none");
 	}
 
-	// Whether every answer so far said that the call did not run.
-	boolean isSurelyNotRun() {
-		return isFailed() && !this.everUncertain;
+	// Returns whether every answer so far reported that the call did not run.
+	boolean isReportedNotRun() {
+		return isFailed() && !this.mayHaveRun;
 	}
 
 	String key() {
 		return this.id.value();
 	}
 
-	void begin() {
-		comeBack(this.run.anyEntry());
+	void start() {
+		reconnect(this.run.anyEntry());
 	}
 
-	void entryDied(FakeEntry dead) {
-		if (this.entry == dead && this.last == null) {
-			this.everUncertain = true;
+	void entryFailed(FakeEntry failed) {
+		if (this.entry == failed && this.finalPart == null) {
+			this.mayHaveRun = true;
 			this.entry = null;
-			this.run.after(100, 1500, () -> comeBack(this.run.anyEntry()));
+			this.run.after(100, 1500, () -> reconnect(this.run.anyEntry()));
 		}
 	}
 
 	void delivered(FakeEntry from, EntryCommand.Deliver deliver) {
-		if (from != this.entry || deliver.subscriber().value() != this.subscriber || this.last != null) {
+		if (from != this.entry || deliver.subscriber().value() != this.subscriber || this.finalPart != null) {
 			return;
 		}
 		switch (deliver.part()) {
@@ -113,10 +113,10 @@
 			case AnswerPart.StartedOver _ -> this.nextOffset = 0;
 			case AnswerPart.Text text -> text(text);
 			case AnswerPart.EndOfText end -> {
-				assertThat(this.nextOffset).as("%s is whole", this.id).isEqualTo(FakeEndpoints.TOKENS);
-				this.last = end;
+				assertThat(this.nextOffset).as("%s is complete", this.id).isEqualTo(FakeEndpoints.TOKENS);
+				this.finalPart = end;
 			}
-			case AnswerPart.Whole whole -> this.last = whole;
+			case AnswerPart.Whole whole -> this.finalPart = whole;
 			case AnswerPart.Failure failure -> failed(failure);
 		}
 	}
@@ -133,23 +133,23 @@
 
 	private void failed(AnswerPart.Failure failure) {
 		if (failure.execution() != CallExecution.NOT_RUN) {
-			this.everUncertain = true;
+			this.mayHaveRun = true;
 		}
-		boolean again = failure.kind().repetition() != Repetition.USELESS
+		boolean retryable = failure.kind().repetition() != Repetition.USELESS
 				|| failure.kind() == ErrorKind.REQUEST_UNKNOWN;
-		if (!again || this.sends >= MOST_SENDS) {
-			this.last = failure;
+		if (!retryable || this.sends >= MAXIMUM_SENDS) {
+			this.finalPart = failure;
 			return;
 		}
 		FakeEntry former = this.entry;
 		this.entry = null;
 		Duration wait = (failure.retryAfter() != null) ? failure.retryAfter() : Duration.ofSeconds(1);
 		if (failure.kind() == ErrorKind.REQUEST_UNKNOWN) {
-			// All copies are gone: the caller begins anew.
+			// All copies of the request are lost: the caller sends it again.
 			this.accepted = false;
 			this.nextOffset = 0;
 		}
-		this.run.after(wait.plusMillis(this.run.random().nextInt(500)), () -> comeBack(otherThan(former)));
+		this.run.after(wait.plusMillis(this.run.random().nextInt(500)), () -> reconnect(otherThan(former)));
 	}
 
 	private FakeEntry otherThan(@Nullable FakeEntry former) {
@@ -157,12 +157,12 @@
 		return (chosen == former) ? this.run.anyEntry() : chosen;
 	}
 
-	// A plan that was accepted is asked for again under its identifier; a booking is
+	// The answer of an accepted plan is requested by its identifier; a booking is
 	// repeated under its key.
-	private void comeBack(FakeEntry next) {
+	private void reconnect(FakeEntry next) {
 		if (!next.isAlive()) {
 			// The connection is refused: nothing was sent.
-			this.run.after(500, 1500, () -> comeBack(this.run.anyEntry()));
+			this.run.after(500, 1500, () -> reconnect(this.run.anyEntry()));
 			return;
 		}
 		if (this.plan && this.accepted) {
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/FakeEndpoints.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/FakeEndpoints.java
@@ -17,8 +17,8 @@
 import org.banyancove.core.routing.EndpointDefinition;
 
 /**
- * Engines whose tokens are a function of the request, and order services that count what
- * they run.
+ * A fake of engines whose tokens are a function of the request, and of order services
+ * that count the runs of each key.
  */
 final class FakeEndpoints {
 
@@ -40,7 +40,7 @@
 
 	private final Map<String, Integer> runs = new HashMap<>();
 
-	private int names;
+	private int nextNumber;
 
 	private int scrambled;
 
@@ -74,7 +74,7 @@
 		Instant at = this.run.now().plusSeconds(10);
 		if (this.leaving.putIfAbsent(id, at) == null) {
 			EntryEvent.ReclaimNotice notice = new EntryEvent.ReclaimNotice(EntryRun.vm(id.value()), at);
-			// The notice reaches one entry only; the others hear of it from that one.
+			// The notice reaches one entry only, which forwards it to the others.
 			this.run.anyEntry().handle(new EntryEvent.ReclaimAnnounced(notice));
 			this.run.after(Duration.ofSeconds(10), () -> remove(id));
 		}
@@ -96,43 +96,43 @@
 		this.lostAnswers += 2;
 	}
 
-	void heal() {
+	void endFaults() {
 		this.scrambled = 0;
 		this.lostAnswers = 0;
 	}
 
-	void start(FakeEntry entry, int life, EntryCommand.StartAttempt start) {
+	void start(FakeEntry entry, int incarnation, EntryCommand.StartAttempt start) {
 		if (!this.live.containsKey(start.endpoint())) {
-			end(entry, life, start, new AttemptResult.NeverSent("connection refused"));
+			end(entry, incarnation, start, new AttemptResult.NeverSent("connection refused"));
 			return;
 		}
-		Connection connection = new Connection(life, start.request(), start.attempt(), start.endpoint());
+		Connection connection = new Connection(incarnation, start.request(), start.attempt(), start.endpoint());
 		this.open.add(connection);
 		switch (start.content()) {
-			case AttemptRequest.PlainCall call -> plainCall(entry, life, start, call);
+			case AttemptRequest.PlainCall call -> plainCall(entry, incarnation, start, call);
 			case AttemptRequest.Generate _ -> stream(entry, start, connection, 0);
-			case AttemptRequest.Continue rest -> stream(entry, start, connection, rest.fromOffset());
+			case AttemptRequest.Continue resume -> stream(entry, start, connection, resume.fromOffset());
 			case AttemptRequest.Reattach reattach -> {
 				if (streamsAt(start.endpoint()).contains(start.request())) {
 					stream(entry, start, connection, reattach.fromOffset());
 				}
 				else {
-					end(entry, life, start, new AttemptResult.Answered(404, "text/plain", Body.EMPTY));
+					end(entry, incarnation, start, new AttemptResult.Answered(404, "text/plain", Body.EMPTY));
 				}
 			}
 		}
 	}
 
-	void cancel(int life, EntryCommand.CancelAttempt cancel) {
-		this.open.remove(new Connection(life, cancel.request(), cancel.attempt(), cancel.endpoint()));
+	void cancel(int incarnation, EntryCommand.CancelAttempt cancel) {
+		this.open.remove(new Connection(incarnation, cancel.request(), cancel.attempt(), cancel.endpoint()));
 	}
 
 	void cancelStream(EntryCommand.CancelStream cancel) {
 		streamsAt(cancel.endpoint()).remove(cancel.request());
 	}
 
-	void moveCache(FakeEntry entry, int life, EntryCommand.MoveCache move) {
-		this.run.after(50, 200, () -> entry.handle(life, new EntryEvent.CacheMoved(move.request(), move.target(),
+	void moveCache(FakeEntry entry, int incarnation, EntryCommand.MoveCache move) {
+		this.run.after(50, 200, () -> entry.handle(incarnation, new EntryEvent.CacheMoved(move.request(), move.target(),
 				this.live.containsKey(move.target()) && this.run.chance(0.7))));
 	}
 
@@ -140,7 +140,7 @@
 		return " " + callOf(request) + "." + offset;
 	}
 
-	// Each sending of a call has an identifier of its own and the same answer.
+	// Each time a call is sent it has a new identifier and the same answer.
 	private static String callOf(RequestId request) {
 		int lastDash = request.value().lastIndexOf('-');
 		return request.value().substring(0, lastDash);
@@ -156,58 +156,60 @@
 			return;
 		}
 		if (!this.live.containsKey(start.endpoint())) {
-			end(entry, connection.life, start, new AttemptResult.Broken("connection reset"));
+			end(entry, connection.incarnation, start, new AttemptResult.Broken("connection reset"));
 			return;
 		}
 		if (offset == TOKENS) {
-			end(entry, connection.life, start, new AttemptResult.StreamEnded(TOKENS, "length", 0));
+			end(entry, connection.incarnation, start, new AttemptResult.StreamEnded(TOKENS, "length", 0));
 			return;
 		}
 		EntryEvent piece = new EntryEvent.PieceArrived(start.request(), start.attempt(), offset, offset + 1,
 				token(start.request(), offset));
 		boolean scramble = this.scrambled > 0;
 		this.scrambled = Math.max(0, this.scrambled - 1);
-		this.run.after(1, scramble ? 200 : 1, () -> entry.handle(connection.life, piece));
+		this.run.after(1, scramble ? 200 : 1, () -> entry.handle(connection.incarnation, piece));
 		if (scramble) {
-			this.run.after(1, 400, () -> entry.handle(connection.life, piece));
+			this.run.after(1, 400, () -> entry.handle(connection.incarnation, piece));
 		}
 		this.run.after(TOKEN_TIME, () -> next(entry, start, connection, offset + 1));
 	}
 
-	private void plainCall(FakeEntry entry, int life, EntryCommand.StartAttempt start, AttemptRequest.PlainCall call) {
+	private void plainCall(FakeEntry entry, int incarnation, EntryCommand.StartAttempt start,
+			AttemptRequest.PlainCall call) {
 		this.run.after(5, 50, () -> {
 			if (!this.live.containsKey(start.endpoint())) {
-				end(entry, life, start, new AttemptResult.Broken("connection reset"));
+				end(entry, incarnation, start, new AttemptResult.Broken("connection reset"));
 				return;
 			}
 			this.runs.merge(String.valueOf(call.idempotencyKey()), 1, Integer::sum);
 			if (this.lostAnswers > 0) {
 				this.lostAnswers--;
-				this.run.after(100, 30_000, () -> end(entry, life, start, new AttemptResult.Broken("no answer")));
+				this.run.after(100, 30_000,
+						() -> end(entry, incarnation, start, new AttemptResult.Broken("no answer")));
 				return;
 			}
-			end(entry, life, start, new AttemptResult.Answered(200, "text/plain", Body.of("booked")));
+			end(entry, incarnation, start, new AttemptResult.Answered(200, "text/plain", Body.of("booked")));
 		});
 	}
 
-	private void end(FakeEntry entry, int life, EntryCommand.StartAttempt start, AttemptResult result) {
+	private void end(FakeEntry entry, int incarnation, EntryCommand.StartAttempt start, AttemptResult result) {
 		EntryEvent ended = new EntryEvent.AttemptEnded(start.request(), start.attempt(), result);
-		this.run.after(1, 5, () -> entry.handle(life, ended));
+		this.run.after(1, 5, () -> entry.handle(incarnation, ended));
 	}
 
 	private void remove(EndpointId id) {
-		EndpointDefinition gone = this.live.remove(id);
+		EndpointDefinition removed = this.live.remove(id);
 		this.leaving.remove(id);
 		this.streams.remove(id);
-		if (gone != null) {
+		if (removed != null) {
 			String kind = id.value().startsWith("engine") ? "engine" : "orders";
-			int dataCenter = Character.digit(gone.dataCenter().value().charAt(3), 10);
+			int dataCenter = Character.digit(removed.dataCenter().value().charAt(3), 10);
 			this.run.after(2000, 6000, () -> add(kind, dataCenter));
 		}
 	}
 
 	private void add(String kind, int dataCenter) {
-		EndpointId id = new EndpointId(kind + "-" + this.names++);
+		EndpointId id = new EndpointId(kind + "-" + this.nextNumber++);
 		this.live.put(id,
 				new EndpointDefinition(id, EntryRun.vm(id.value()), EntryRun.dataCenter(dataCenter),
 						EntryRun.zone(dataCenter), new MachineClass("any"),
@@ -223,7 +225,7 @@
 		return this.streams.computeIfAbsent(id, (key) -> new HashSet<>());
 	}
 
-	private record Connection(int life, RequestId request, int attempt, EndpointId endpoint) {
+	private record Connection(int incarnation, RequestId request, int attempt, EndpointId endpoint) {
 
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/FakeEntry.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/FakeEntry.java
@@ -18,7 +18,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One entry VM of a run: a core, its life and death, and its share of the fakes.
+ * A fake of one entry VM: runs a core, which can be killed, paused and restarted, and
+ * connects it to the other fakes.
  */
 final class FakeEntry {
 
@@ -26,9 +27,9 @@
 
 	private final int index;
 
-	private final Deque<EntryEvent> whilePaused = new ArrayDeque<>();
+	private final Deque<EntryEvent> delayedEvents = new ArrayDeque<>();
 
-	private int life;
+	private int incarnation;
 
 	private boolean alive;
 
@@ -48,12 +49,12 @@
 		return this.index / 2;
 	}
 
-	int life() {
-		return this.life;
+	int incarnation() {
+		return this.incarnation;
 	}
 
 	String address() {
-		return "entry-" + this.index + ":" + this.life;
+		return "entry-" + this.index + ":" + this.incarnation;
 	}
 
 	EntryCore core() {
@@ -65,7 +66,7 @@
 	}
 
 	VmId vm() {
-		return EntryRun.vm("entry-" + this.index + "-" + this.life);
+		return EntryRun.vm("entry-" + this.index + "-" + this.incarnation);
 	}
 
 	boolean isAlive() {
@@ -79,7 +80,7 @@
 	void kill() {
 		if (this.alive) {
 			this.alive = false;
-			this.run.callers.forEach((caller) -> caller.entryDied(this));
+			this.run.callers.forEach((caller) -> caller.entryFailed(this));
 			this.run.after(500, 3000, this::start);
 		}
 	}
@@ -93,98 +94,100 @@
 		if (!this.alive) {
 			return;
 		}
-		int reclaimed = this.life;
+		int reclaimed = this.incarnation;
 		Instant at = this.run.now().plusSeconds(10);
 		EntryEvent.ReclaimNotice notice = new EntryEvent.ReclaimNotice(vm(), at);
 		handle(new EntryEvent.ReclaimAnnounced(notice));
 		this.run.after(Duration.ofSeconds(10), () -> {
-			if (this.life == reclaimed) {
+			if (this.incarnation == reclaimed) {
 				kill();
 			}
 		});
 	}
 
-	// Passes an event to this life of the process, now or when it wakes.
+	// Passes an event to the current incarnation of the process, at once or when
+	// its pause ends.
 	void handle(EntryEvent event) {
 		if (!this.alive) {
 			return;
 		}
 		if (this.pausedUntil.isAfter(this.run.now())) {
-			this.whilePaused.add(event);
+			this.delayedEvents.add(event);
 			return;
 		}
 		core().handle(event);
 	}
 
-	void handle(int expectedLife, EntryEvent event) {
-		if (this.life == expectedLife) {
+	void handle(int expectedIncarnation, EntryEvent event) {
+		if (this.incarnation == expectedIncarnation) {
 			handle(event);
 		}
 	}
 
 	private void resume() {
-		while (this.alive && !this.pausedUntil.isAfter(this.run.now()) && !this.whilePaused.isEmpty()) {
-			core().handle(this.whilePaused.remove());
+		while (this.alive && !this.pausedUntil.isAfter(this.run.now()) && !this.delayedEvents.isEmpty()) {
+			core().handle(this.delayedEvents.remove());
 		}
 	}
 
 	private void start() {
-		this.life = this.run.nextIncarnation();
+		this.incarnation = this.run.nextIncarnation();
 		this.alive = true;
 		this.readsProfiles = false;
 		this.pausedUntil = Instant.MIN;
-		this.whilePaused.clear();
+		this.delayedEvents.clear();
 		DataCenterName dataCenter = EntryRun.dataCenter(dataCenter());
-		EntryIdentity identity = new EntryIdentity(new Incarnation(vm(), this.life), dataCenter,
+		EntryIdentity identity = new EntryIdentity(new Incarnation(vm(), this.incarnation), dataCenter,
 				EntryRun.zone(dataCenter()), address());
 		Set<DataCenterName> nearby = IntStream.range(0, 3).mapToObj(EntryRun::dataCenter).collect(Collectors.toSet());
-		int ownLife = this.life;
-		this.core = new EntryCore(identity, EntrySettings.defaults(nearby), new UnsharedText(), this.run::now,
-				RandomGeneratorFactory.of("L64X128MixRandom").create(this.life),
-				(command) -> execute(ownLife, command));
-		tick(ownLife);
-		this.run.platform.follow(this, ownLife);
+		int ownIncarnation = this.incarnation;
+		this.core = new EntryCore(identity, EntrySettings.defaults(nearby), new InMemoryText(), this.run::now,
+				RandomGeneratorFactory.of("L64X128MixRandom").create(this.incarnation),
+				(command) -> execute(ownIncarnation, command));
+		tick(ownIncarnation);
+		this.run.platform.startReading(this, ownIncarnation);
 	}
 
-	private void tick(int ownLife) {
-		if (this.life == ownLife && this.alive) {
+	private void tick(int ownIncarnation) {
+		if (this.incarnation == ownIncarnation && this.alive) {
 			handle(new EntryEvent.Ticked());
-			this.run.after(EntryRun.step(), () -> tick(ownLife));
+			this.run.after(EntryRun.step(), () -> tick(ownIncarnation));
 		}
 	}
 
-	private void execute(int ownLife, EntryCommand command) {
+	private void execute(int ownIncarnation, EntryCommand command) {
 		switch (command) {
 			case EntryCommand.Deliver deliver -> this.run.callers.forEach((caller) -> caller.delivered(this, deliver));
-			case EntryCommand.StartAttempt start -> this.run.endpoints.start(this, ownLife, start);
-			case EntryCommand.FailAttempt fail -> this.run.after(0, 1, () -> handle(ownLife,
-					new EntryEvent.AttemptEnded(fail.request(), fail.attempt(), new AttemptResult.NeverSent("gone"))));
-			case EntryCommand.CancelAttempt cancel -> this.run.endpoints.cancel(ownLife, cancel);
+			case EntryCommand.StartAttempt start -> this.run.endpoints.start(this, ownIncarnation, start);
+			case EntryCommand.FailAttempt fail ->
+				this.run.after(0, 1, () -> handle(ownIncarnation, new EntryEvent.AttemptEnded(fail.request(),
+						fail.attempt(), new AttemptResult.NeverSent("endpoint removed"))));
+			case EntryCommand.CancelAttempt cancel -> this.run.endpoints.cancel(ownIncarnation, cancel);
 			case EntryCommand.CancelStream cancel -> this.run.endpoints.cancelStream(cancel);
-			case EntryCommand.MoveCache move -> this.run.endpoints.moveCache(this, ownLife, move);
+			case EntryCommand.MoveCache move -> this.run.endpoints.moveCache(this, ownIncarnation, move);
 			case EntryCommand.SendToPeer send -> send(send);
 			case EntryCommand.ReadProfiles _ -> this.readsProfiles = true;
 			case EntryCommand.StopReadingProfiles _ -> this.readsProfiles = false;
 			case EntryCommand.AppendCheckpoint _, EntryCommand.RecordSample _ -> {
 			}
-			case EntryCommand.AppendToLog append -> this.run.platform.append(this, ownLife, append);
+			case EntryCommand.AppendToLog append -> this.run.platform.append(this, ownIncarnation, append);
 		}
 	}
 
 	private void send(EntryCommand.SendToPeer send) {
 		FakeEntry receiver = this.run.entryAt(send.address());
-		if (receiver == null || this.run.isCut(this, receiver)) {
+		if (receiver == null || this.run.isPartitioned(this, receiver)) {
 			return;
 		}
-		int receiverLife = receiver.life;
-		this.run.after(1, 5, () -> receiver.handle(receiverLife, new EntryEvent.PeerMessageArrived(send.message())));
+		int receiverIncarnation = receiver.incarnation;
+		this.run.after(1, 5,
+				() -> receiver.handle(receiverIncarnation, new EntryEvent.PeerMessageArrived(send.message())));
 	}
 
 	/**
-	 * Keeps texts as objects in the fakes' memory: the JSON is proved where it is
-	 * written.
+	 * Keeps the encoded objects in memory; the JSON codec has tests of its own.
 	 */
-	private final class UnsharedText implements ProfileEntryText {
+	private final class InMemoryText implements ProfileEntryText {
 
 		@Override
 		public String write(ProfileEntry entry) {
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/FakePlatform.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/FakePlatform.java
@@ -26,7 +26,7 @@
 import org.banyancove.core.profile.ServiceState;
 
 /**
- * The platform's log and list of VMs, in memory.
+ * An in-memory fake of the platform's log and list of VMs.
  */
 final class FakePlatform {
 
@@ -67,13 +67,14 @@
 		this.delayAppends += 3;
 	}
 
-	void heal() {
+	void endFaults() {
 		this.downUntil = Instant.MIN;
 		this.loseAnswers = 0;
 		this.delayAppends = 0;
 	}
 
-	// Two operators change the profile from the same revision; one of them wins.
+	// Two operators change the profile from the same revision; one of the changes
+	// is accepted.
 	void changeProfile() {
 		long expected = this.lastRevision;
 		long offset = this.profiles.size();
@@ -101,15 +102,15 @@
 		return Objects.requireNonNull(this.texts.get(text));
 	}
 
-	void append(FakeEntry entry, int life, EntryCommand.AppendToLog append) {
+	void append(FakeEntry entry, int incarnation, EntryCommand.AppendToLog append) {
 		if (isDown()) {
-			this.run.after(50, 3000, () -> answer(entry, life, append, new AppendResult.Unanswered()));
+			this.run.after(50, 3000, () -> answer(entry, incarnation, append, new AppendResult.Unanswered()));
 			return;
 		}
 		if (this.delayAppends > 0) {
 			this.delayAppends--;
 			this.run.after(2000, 20_000, () -> write(append));
-			this.run.after(1000, 2000, () -> answer(entry, life, append, new AppendResult.Unanswered()));
+			this.run.after(1000, 2000, () -> answer(entry, incarnation, append, new AppendResult.Unanswered()));
 			return;
 		}
 		this.run.after(1, 10, () -> {
@@ -118,57 +119,57 @@
 			this.loseAnswers = Math.max(0, this.loseAnswers - 1);
 			long last = first + append.records().size() - 1;
 			AppendResult result = lost ? new AppendResult.Unanswered() : new AppendResult.Appended(first, last);
-			this.run.after(lost ? 2000 : 1, lost ? 3000 : 10, () -> answer(entry, life, append, result));
+			this.run.after(lost ? 2000 : 1, lost ? 3000 : 10, () -> answer(entry, incarnation, append, result));
 		});
 	}
 
-	void follow(FakeEntry entry, int life) {
-		read(entry, life, new HashMap<>());
-		list(entry, life);
+	void startReading(FakeEntry entry, int incarnation) {
+		read(entry, incarnation, new HashMap<>());
+		list(entry, incarnation);
 	}
 
-	private void read(FakeEntry entry, int life, Map<KeySlot, Long> read) {
-		if (!entry.isAlive() || entry.life() != life) {
+	private void read(FakeEntry entry, int incarnation, Map<KeySlot, Long> read) {
+		if (!entry.isAlive() || entry.incarnation() != incarnation) {
 			return;
 		}
 		if (!isDown()) {
 			for (int index = 0; index < KeySlot.DEFAULT_COUNT; index++) {
-				readSlot(entry, life, new KeySlot(index), read);
+				readSlot(entry, incarnation, new KeySlot(index), read);
 			}
 			if (entry.readsProfiles()) {
-				readProfiles(entry, life);
+				readProfiles(entry, incarnation);
 			}
 		}
-		this.run.after(5, 40, () -> read(entry, life, read));
+		this.run.after(5, 40, () -> read(entry, incarnation, read));
 	}
 
-	private void readProfiles(FakeEntry entry, int life) {
+	private void readProfiles(FakeEntry entry, int incarnation) {
 		long next = entry.core().profiles().nextOffset();
-		List<ProfileEntry> rest = this.profiles.subList((int) Math.min(next, this.profiles.size()),
+		List<ProfileEntry> remaining = this.profiles.subList((int) Math.min(next, this.profiles.size()),
 				this.profiles.size());
-		entry.handle(life, new EntryEvent.ProfilesRead(new ProfilePage(0, this.profiles.size(), rest)));
+		entry.handle(incarnation, new EntryEvent.ProfilesRead(new ProfilePage(0, this.profiles.size(), remaining)));
 	}
 
-	private void readSlot(FakeEntry entry, int life, KeySlot slot, Map<KeySlot, Long> read) {
+	private void readSlot(FakeEntry entry, int incarnation, KeySlot slot, Map<KeySlot, Long> read) {
 		List<LoggedRecord> records = this.keys.getOrDefault(slot, List.of());
 		long next = read.getOrDefault(slot, 0L);
 		if (next == records.size() && read.containsKey(slot)) {
 			return;
 		}
 		read.put(slot, (long) records.size());
-		entry.handle(life,
+		entry.handle(incarnation,
 				new EntryEvent.KeysRead(slot, 0, records.size(), records.subList((int) next, records.size())));
 	}
 
-	private void list(FakeEntry entry, int life) {
-		if (!entry.isAlive() || entry.life() != life) {
+	private void list(FakeEntry entry, int incarnation) {
+		if (!entry.isAlive() || entry.incarnation() != incarnation) {
 			return;
 		}
 		List<PeerSeed> seeds = this.run.entries.stream()
 			.map((other) -> new PeerSeed(other.address(), other.vm(), false))
 			.toList();
-		entry.handle(life, this.run.endpoints.listed(seeds));
-		this.run.after(800, 1200, () -> list(entry, life));
+		entry.handle(incarnation, this.run.endpoints.listed(seeds));
+		this.run.after(800, 1200, () -> list(entry, incarnation));
 	}
 
 	private long write(EntryCommand.AppendToLog append) {
@@ -180,8 +181,8 @@
 		return first;
 	}
 
-	private void answer(FakeEntry entry, int life, EntryCommand.AppendToLog append, AppendResult result) {
-		entry.handle(life, new EntryEvent.AppendAnswered(append.append(), result));
+	private void answer(FakeEntry entry, int incarnation, EntryCommand.AppendToLog append, AppendResult result) {
+		entry.handle(incarnation, new EntryEvent.AppendAnswered(append.append(), result));
 	}
 
 	private boolean isDown() {
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/ProfileReaderFleet.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/ProfileReaderFleet.java
@@ -24,8 +24,8 @@
 import org.banyancove.core.profile.ProfileTableState;
 
 /**
- * Entries that learn profiles from a log at which reads wait, and from each other. Counts
- * the reads that reach the log.
+ * A simulated fleet of entries that receive profiles by long polls of a log and from each
+ * other. Counts the reads of the log.
  */
 final class ProfileReaderFleet {
 
@@ -43,7 +43,7 @@
 
 	private final int readers;
 
-	private Deque<Sent> inFlight = new ArrayDeque<>();
+	private Deque<SentMessage> inFlight = new ArrayDeque<>();
 
 	private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
@@ -59,12 +59,12 @@
 		this.members.forEach(this::list);
 	}
 
-	// Starts another entry of the first data center.
+	// Starts a further entry in the first data center.
 	Member join() {
-		Member fresh = new Member(0, this.members.size());
-		this.members.add(fresh);
-		list(fresh);
-		return fresh;
+		Member member = new Member(0, this.members.size());
+		this.members.add(member);
+		list(member);
+		return member;
 	}
 
 	private void list(Member member) {
@@ -90,26 +90,27 @@
 				new ProfileRecord.ProfileChanged("change-" + this.log.size(), -1, profile)));
 	}
 
-	// The time until all living entries have what the log has now.
-	Duration untilInForce(Duration atMost) {
+	// Runs until all live entries have applied the log, and returns the time that
+	// it took.
+	Duration runUntilApplied(Duration atMost) {
 		Instant start = this.now;
-		while (this.now.isBefore(start.plus(atMost)) && !living().stream().allMatch(this::isCurrent)) {
+		while (this.now.isBefore(start.plus(atMost)) && !liveMembers().stream().allMatch(this::isCurrent)) {
 			step();
 		}
 		return Duration.between(start, this.now);
 	}
 
-	List<Member> reading() {
-		return living().stream().filter((member) -> member.reads).toList();
+	List<Member> readingMembers() {
+		return liveMembers().stream().filter((member) -> member.reads).toList();
 	}
 
-	long takeReads() {
-		long taken = this.reads;
+	long drainReads() {
+		long drained = this.reads;
 		this.reads = 0;
-		return taken;
+		return drained;
 	}
 
-	private List<Member> living() {
+	private List<Member> liveMembers() {
 		return this.members.stream().filter((member) -> member.alive).toList();
 	}
 
@@ -119,21 +120,21 @@
 
 	private void step() {
 		this.now = this.now.plus(STEP);
-		Deque<Sent> arriving = this.inFlight;
+		Deque<SentMessage> arriving = this.inFlight;
 		this.inFlight = new ArrayDeque<>();
-		for (Sent sent : arriving) {
-			living().stream()
+		for (SentMessage sent : arriving) {
+			liveMembers().stream()
 				.filter((member) -> member.address.equals(sent.address))
 				.forEach((member) -> member.core.handle(new EntryEvent.PeerMessageArrived(sent.message)));
 		}
-		for (Member member : living()) {
+		for (Member member : liveMembers()) {
 			member.stepRead();
 			member.core.handle(new EntryEvent.Ticked());
 		}
 	}
 
 	/**
-	 * One entry and its read at the log.
+	 * An entry and its read of the log.
 	 */
 	final class Member {
 
@@ -145,7 +146,7 @@
 
 		boolean alive = true;
 
-		boolean cutFromLog;
+		boolean partitionedFromLog;
 
 		Duration lag = Duration.ZERO;
 
@@ -155,7 +156,7 @@
 
 		private long next;
 
-		private Instant askedAt = Instant.MAX;
+		private Instant requestedAt = Instant.MAX;
 
 		Member(int dataCenter, int number) {
 			this.vm = new VmId("vm-" + dataCenter + "-" + number);
@@ -165,19 +166,19 @@
 			EntryIdentity identity = new EntryIdentity(new Incarnation(this.vm, start), name,
 					new ZoneName("zone-" + number % 3), this.address);
 			this.core = new EntryCore(identity,
-					EntrySettings.defaults(Set.of()).withProfileReaders(ProfileReaderFleet.this.readers), new Texts(),
-					() -> ProfileReaderFleet.this.now,
+					EntrySettings.defaults(Set.of()).withProfileReaders(ProfileReaderFleet.this.readers),
+					new InMemoryTexts(), () -> ProfileReaderFleet.this.now,
 					RandomGeneratorFactory.of("L64X128MixRandom").create(810 + start), this::execute);
 		}
 
 		private void execute(EntryCommand command) {
 			switch (command) {
 				case EntryCommand.SendToPeer send ->
-					ProfileReaderFleet.this.inFlight.add(new Sent(send.address(), send.message()));
+					ProfileReaderFleet.this.inFlight.add(new SentMessage(send.address(), send.message()));
 				case EntryCommand.ReadProfiles read -> {
 					this.reads = true;
 					this.next = read.fromOffset();
-					this.askedAt = Instant.MAX;
+					this.requestedAt = Instant.MAX;
 				}
 				case EntryCommand.StopReadingProfiles _ -> this.reads = false;
 				default -> {
@@ -189,34 +190,34 @@
 			Instant time = ProfileReaderFleet.this.now;
 			while (!this.pages.isEmpty() && !this.pages.peek().at.isAfter(time)) {
 				this.core.handle(new EntryEvent.ProfilesRead(this.pages.remove().page));
-				this.askedAt = Instant.MAX;
+				this.requestedAt = Instant.MAX;
 			}
 			if (!this.reads || !this.pages.isEmpty()) {
 				return;
 			}
-			if (this.askedAt.equals(Instant.MAX)) {
-				this.askedAt = time;
+			if (this.requestedAt.equals(Instant.MAX)) {
+				this.requestedAt = time;
 				ProfileReaderFleet.this.reads++;
 			}
-			if (this.cutFromLog) {
-				failIfOverdue(time);
+			if (this.partitionedFromLog) {
+				failIfTimedOut(time);
 			}
 			else {
 				answerIfDue(time);
 			}
 		}
 
-		private void failIfOverdue(Instant time) {
-			if (!this.askedAt.plus(READ_TIMEOUT).isAfter(time)) {
-				this.askedAt = Instant.MAX;
+		private void failIfTimedOut(Instant time) {
+			if (!this.requestedAt.plus(READ_TIMEOUT).isAfter(time)) {
+				this.requestedAt = Instant.MAX;
 			}
 		}
 
 		private void answerIfDue(Instant time) {
 			int size = ProfileReaderFleet.this.log.size();
-			if (size > this.next || !this.askedAt.plus(READ_WAIT).isAfter(time)) {
-				List<ProfileEntry> rest = List.copyOf(ProfileReaderFleet.this.log.subList((int) this.next, size));
-				this.pages.add(new Page(time.plus(this.lag), new ProfilePage(0, size, rest)));
+			if (size > this.next || !this.requestedAt.plus(READ_WAIT).isAfter(time)) {
+				List<ProfileEntry> remaining = List.copyOf(ProfileReaderFleet.this.log.subList((int) this.next, size));
+				this.pages.add(new Page(time.plus(this.lag), new ProfilePage(0, size, remaining)));
 				this.next = size;
 			}
 		}
@@ -224,9 +225,9 @@
 	}
 
 	/**
-	 * Keeps texts as objects: the JSON is proved where it is written.
+	 * Keeps the encoded objects in memory; the JSON codec has tests of its own.
 	 */
-	private final class Texts implements ProfileEntryText {
+	private final class InMemoryTexts implements ProfileEntryText {
 
 		@Override
 		public String write(ProfileEntry entry) {
@@ -255,7 +256,7 @@
 
 	}
 
-	private record Sent(String address, PeerMessage message) {
+	private record SentMessage(String address, PeerMessage message) {
 
 	}
 
