--- a/banyancove-entry/src/main/java/org/banyancove/entry/CommandExecutor.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/CommandExecutor.java
@@ -12,7 +12,7 @@
 import org.banyancove.transport.PeerTransport;
 
 /**
- * Carries the core's commands to the adapters; none of them waits.
+ * Dispatches the core's commands to the adapters, none of which blocks.
  */
 final class CommandExecutor implements Consumer<EntryCommand> {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryDaemon.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryDaemon.java
@@ -34,11 +34,11 @@
 import org.banyancove.entry.caller.CallerServer;
 import org.banyancove.entry.caller.CallerServerSettings;
 import org.banyancove.entry.endpoint.EndpointClient;
-import org.banyancove.entry.endpoint.LoadFeed;
+import org.banyancove.entry.endpoint.EngineLoadPoller;
 import org.banyancove.entry.platform.LogAdapter;
 import org.banyancove.entry.platform.PeerSeeds;
 import org.banyancove.entry.platform.PriceTable;
-import org.banyancove.entry.platform.VmFeed;
+import org.banyancove.entry.platform.VmWatcher;
 import org.banyancove.platform.CloudClient;
 import org.banyancove.platform.LogClient;
 import org.banyancove.platform.NoticeClient;
@@ -54,7 +54,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One running entry: the core on its tick loop, and the adapters around it.
+ * A running entry: the core on its tick loop and the adapters around it.
  */
 public final class EntryDaemon implements AutoCloseable {
 
@@ -62,9 +62,9 @@
 
 	static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
-	private static final Duration TICK = Duration.ofMillis(10);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
 
-	private static final Duration STOP_POLL = Duration.ofMillis(20);
+	private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(20);
 
 	private final ExecutorService platformExecutor = Executors.newVirtualThreadPerTaskExecutor();
 
@@ -72,7 +72,7 @@
 
 	private final CallerConnections callers = new CallerConnections();
 
-	private final AtomicLong lastRequest = new AtomicLong();
+	private final AtomicLong lastRequestNumber = new AtomicLong();
 
 	private final EntryProgramSettings settings;
 
@@ -90,11 +90,11 @@
 
 	private final EndpointClient endpoints;
 
-	private final LoadFeed loads;
+	private final EngineLoadPoller loadPoller;
 
 	private final LogAdapter log;
 
-	private final VmFeed vms;
+	private final VmWatcher vmWatcher;
 
 	private final PriceTable prices;
 
@@ -107,10 +107,10 @@
 	private final PeerSeeds seeds;
 
 	/**
-	 * Creates an entry and takes its addresses.
+	 * Creates an entry and binds its addresses.
 	 * @param settings the settings
 	 * @param clock the clock
-	 * @param seed the seed of all random choices
+	 * @param seed the seed of the random generators
 	 */
 	public EntryDaemon(EntryProgramSettings settings, InstantSource clock, long seed) {
 		RandomGenerator random = RandomGeneratorFactory.of(RANDOM_ALGORITHM).create(seed);
@@ -132,11 +132,11 @@
 		this.seeds = new PeerSeeds(settings.peers().seeds());
 		this.endpoints = new EndpointClient(settings.endpoints().connectTimeout(), settings.endpoints().answerTimeout(),
 				events);
-		this.loads = new LoadFeed(settings.platform().timeout(), events);
+		this.loadPoller = new EngineLoadPoller(settings.platform().timeout(), events);
 		this.log = new LogAdapter(logClient, settings.platform().readWait(), this.timer, events);
 		this.prices = new PriceTable(new CloudClient(this.platform));
-		this.vms = new VmFeed(new VmListClient(this.platform), new NoticeClient(this.platform), this.prices,
-				settings.platform().readWait(), this.timer, events, this.loads::follow,
+		this.vmWatcher = new VmWatcher(new VmListClient(this.platform), new NoticeClient(this.platform), this.prices,
+				settings.platform().readWait(), this.timer, events, this.loadPoller::setEngines,
 				EndpointRegion.of(process.dataCenter(), Set.copyOf(settings.endpoints().region())), this.seeds);
 		Consumer<EntryCommand> commands = new CommandExecutor(this.callers, this.endpoints, this.log, this.transport,
 				events, this.samples);
@@ -151,58 +151,60 @@
 	}
 
 	/**
-	 * Starts to serve.
+	 * Starts to serve requests.
 	 */
 	public void start() {
 		this.prices.start(this.timer);
-		this.vms.start(this.settings.platform().listInterval());
-		this.loads.start(this.settings.endpoints().loadInterval(), this.timer);
-		this.log.follow(coreSettings(this.settings).claims().slots());
+		this.vmWatcher.start(this.settings.platform().listInterval());
+		this.loadPoller.start(this.settings.endpoints().loadInterval(), this.timer);
+		this.log.readKeySlots(coreSettings(this.settings).claims().slots());
 		post(new EntryEvent.VmsListed(Instant.EPOCH, List.of(), List.of(), this.seeds.entries()));
-		this.loop.start(TICK);
+		this.loop.start(TICK_INTERVAL);
 		this.server.start();
 		logger.info("Entry {} of {} listens on {}", this.identity.incarnation(), this.identity.dataCenter(), address());
 	}
 
 	/**
-	 * Returns the address that callers reach.
-	 * @return the address
+	 * Returns the address on which callers are served.
+	 * @return the bound address
 	 */
 	public InetSocketAddress address() {
 		return this.server.address();
 	}
 
 	/**
-	 * Returns the address that other entries reach.
-	 * @return the address
+	 * Returns the address on which other entries are served.
+	 * @return the bound address
 	 */
 	public InetSocketAddress peerAddress() {
 		return this.peerAddress;
 	}
 
 	/**
-	 * Stops gracefully: takes no new work, lets what is in flight end here, hands over
-	 * what takes longer than {@code callers.hand-over-after}, and keeps the callers'
-	 * connections until their answers are whole, at most for
+	 * Stops gracefully: rejects new requests, completes requests in flight, hands over
+	 * those that take longer than {@code callers.hand-over-after}, and keeps the callers'
+	 * connections open until their answers are complete, for at most
 	 * {@code callers.stop-patience}.
-	 * @return whether nothing was cut
+	 * @return whether all requests were completed
 	 * @throws InterruptedException if the wait is interrupted
 	 */
 	public boolean stop() throws InterruptedException {
-		logger.info("Entry {} stops", this.identity.incarnation());
+		logger.info("Stopping entry {}", this.identity.incarnation());
 		EntryProgramSettings.Callers callers = this.settings.callers();
-		long end = System.nanoTime() + callers.stopPatience().toNanos();
-		long handOverAt = Math.min(end, System.nanoTime() + callers.handOverAfter().toNanos());
+		long deadline = System.nanoTime() + callers.stopPatience().toNanos();
+		long handOverDeadline = Math.min(deadline, System.nanoTime() + callers.handOverAfter().toNanos());
 		post(new EntryEvent.StopRequested());
-		boolean idle = awaitIdle(handOverAt);
+		boolean idle = awaitIdle(handOverDeadline);
 		if (!idle) {
-			// A manager that loses patience and kills this process would cut what only
-			// this process runs. From here on it passes on what others run.
+			// If the process manager's stop timeout expires, it kills this process and
+			// with it all requests that only this process runs. After the hand-over
+			// other entries run them, and this process only forwards their answers.
 			post(new EntryEvent.HandOverRequested());
-			idle = awaitIdle(end);
+			idle = awaitIdle(deadline);
 		}
 		close();
-		logger.info("Entry {} has stopped, {}", this.identity.incarnation(), idle ? "nothing was cut" : "work was cut");
+		logger.info("Entry {} stopped, {}", this.identity.incarnation(),
+				idle ? "all requests completed" : "requests were interrupted");
 		return idle;
 	}
 
@@ -224,9 +226,9 @@
 		return (file != null) ? new JsonTraceRecorder(Path.of(file), start) : TraceRecorder.none();
 	}
 
-	private boolean awaitIdle(long end) throws InterruptedException {
-		while (!isIdle() && System.nanoTime() - end < 0) {
-			Thread.sleep(STOP_POLL);
+	private boolean awaitIdle(long deadline) throws InterruptedException {
+		while (!isIdle() && System.nanoTime() - deadline < 0) {
+			Thread.sleep(STOP_POLL_INTERVAL);
 		}
 		return isIdle();
 	}
@@ -242,7 +244,7 @@
 	private RequestId nextRequestId() {
 		Incarnation incarnation = this.identity.incarnation();
 		return new RequestId(incarnation.vm() + "-" + Long.toHexString(incarnation.start()) + "-"
-				+ this.lastRequest.incrementAndGet());
+				+ this.lastRequestNumber.incrementAndGet());
 	}
 
 	private String status() {
@@ -259,16 +261,16 @@
 	static EntrySettings coreSettings(EntryProgramSettings settings) {
 		EntryProgramSettings.Callers callers = settings.callers();
 		EntryProgramSettings.Ledger ledger = settings.ledger();
-		ClaimSettings defaults = ClaimSettings.defaults();
-		ClaimSettings claims = new ClaimSettings(ledger.slots(), ledger.batchWindow(), defaults.appendTimeout(),
-				ledger.keyWindow(), ledger.answerWindow(), ledger.retention(), defaults.outcomeWait(),
-				defaults.retryAfter(), defaults.appendsPerSecond(), defaults.appendsInFlight(),
-				defaults.recordsPerAppend(), defaults.requests(), defaults.storedBodyBytes());
-		EntrySettings usual = EntrySettings.defaults(Set.copyOf(settings.peers().nearby()));
+		ClaimSettings claimDefaults = ClaimSettings.defaults();
+		ClaimSettings claims = new ClaimSettings(ledger.slots(), ledger.batchWindow(), claimDefaults.appendTimeout(),
+				ledger.keyWindow(), ledger.answerWindow(), ledger.retention(), claimDefaults.outcomeWait(),
+				claimDefaults.retryAfter(), claimDefaults.appendsPerSecond(), claimDefaults.appendsInFlight(),
+				claimDefaults.recordsPerAppend(), claimDefaults.requests(), claimDefaults.storedBodyBytes());
+		EntrySettings entryDefaults = EntrySettings.defaults(Set.copyOf(settings.peers().nearby()));
 		return new EntrySettings(callers.keepAnswers(), callers.keepAnswerBytes(), callers.maximumRequests(),
-				usual.suspectSettleTime(), settings.platform().profileReaders(), claims, usual.streams(),
-				usual.handover(), usual.membership(), Set.copyOf(settings.endpoints().region()),
-				settings.endpoints().placement());
+				entryDefaults.suspectSettleTime(), settings.platform().profileReaders(), claims,
+				entryDefaults.streams(), entryDefaults.handover(), entryDefaults.membership(),
+				Set.copyOf(settings.endpoints().region()), settings.endpoints().placement());
 	}
 
 }
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryLoop.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryLoop.java
@@ -8,7 +8,7 @@
 import org.banyancove.program.TickLoop;
 
 /**
- * Passes events to the core on the one thread that owns its state, and records them.
+ * Records events and passes them to the core on the single thread that owns its state.
  */
 public final class EntryLoop implements EventSink, AutoCloseable {
 
@@ -21,13 +21,13 @@
 	private final TraceRecorder trace;
 
 	/**
-	 * Creates the loop; it handles events at once and ticks after {@link #start}.
-	 * @param core the decisions
-	 * @param clock the clock that the core sees
+	 * Creates the loop; it handles events immediately and ticks after {@link #start}.
+	 * @param core the core that handles the events
+	 * @param clock the clock that the core reads
 	 * @param trace records every event before it is handled
 	 */
 	EntryLoop(EntryCore core, EventClock clock, TraceRecorder trace) {
-		this.loop = new TickLoop("entry-loop", new CoreFailures(core));
+		this.loop = new TickLoop("entry-loop", new CoreFailureListener(core));
 		this.core = core;
 		this.clock = clock;
 		this.trace = trace;
@@ -38,19 +38,19 @@
 	 * @param interval the time between ticks
 	 */
 	public void start(Duration interval) {
-		this.loop.start(interval, new Handling(new EntryEvent.Ticked()));
+		this.loop.start(interval, new EventTask(new EntryEvent.Ticked()));
 	}
 
 	@Override
 	public void post(EntryEvent event) {
-		this.loop.post(new Handling(event));
+		this.loop.post(new EventTask(event));
 	}
 
 	/**
-	 * Reads the core's state on its own thread.
-	 * @param <T> what is read
-	 * @param reader reads it
-	 * @return what was read
+	 * Reads the core's state on the thread that owns it.
+	 * @param <T> the type of the value
+	 * @param reader reads the value
+	 * @return the value
 	 */
 	public <T> T read(Callable<T> reader) {
 		return this.loop.read(reader);
@@ -61,11 +61,11 @@
 		this.loop.close();
 	}
 
-	private final class Handling implements Runnable {
+	private final class EventTask implements Runnable {
 
 		private final EntryEvent event;
 
-		Handling(EntryEvent event) {
+		EventTask(EntryEvent event) {
 			this.event = event;
 		}
 
@@ -83,9 +83,9 @@
 	}
 
 	/**
-	 * Lets the core count what failed.
+	 * Counts failures in the core.
 	 */
-	private record CoreFailures(EntryCore core) implements TickLoop.FailureListener {
+	private record CoreFailureListener(EntryCore core) implements TickLoop.FailureListener {
 
 		@Override
 		public void invariantViolated() {
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryMetrics.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryMetrics.java
@@ -11,7 +11,7 @@
 import org.banyancove.entry.caller.CallerConnections;
 
 /**
- * The metrics of an entry, read from the core when they are scraped.
+ * The metrics of an entry, read from the core on each scrape.
  */
 final class EntryMetrics {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryProgram.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryProgram.java
@@ -20,7 +20,7 @@
 	}
 
 	/**
-	 * Runs an entry until it is told to stop.
+	 * Runs an entry until the process receives a termination signal.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryProgramSettings.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryProgramSettings.java
@@ -15,21 +15,21 @@
 /**
  * The settings file of an entry.
  *
- * @param process who and where this process is
- * @param callers the side towards callers
+ * @param process the identity and location of this process
+ * @param callers the settings of the server for callers
  * @param accounts the callers' accounts
- * @param peers the side towards the other entries
- * @param platform the platform
- * @param endpoints the side towards endpoints
- * @param ledger the key ledger
- * @param files what is written beside the logs
+ * @param peers the settings of the connections to other entries
+ * @param platform the settings of the platform's clients
+ * @param endpoints the settings of the connections to endpoints
+ * @param ledger the settings of the key ledger
+ * @param files the files written in addition to the logs
  */
 public record EntryProgramSettings(Identity process, Callers callers,
 		@SettingsKey(meaning = "the callers' accounts") List<Account> accounts, Peers peers, Platform platform,
 		Endpoints endpoints, Ledger ledger, Files files) {
 
 	/**
-	 * Who and where this process is.
+	 * The identity and location of this process.
 	 *
 	 * @param vm the VM's identifier
 	 * @param dataCenter the data center
@@ -42,15 +42,17 @@
 	}
 
 	/**
-	 * The side towards callers.
+	 * The settings of the server for callers.
 	 *
 	 * @param address the address to listen on
-	 * @param maximumBodyBytes the largest body read
-	 * @param keepAnswers how long an ended answer is kept
-	 * @param keepAnswerBytes the bytes of ended answers kept
-	 * @param maximumRequests the requests that may run at once
-	 * @param handOverAfter how long a planned stop keeps its work to itself
-	 * @param stopPatience how long a planned stop keeps its callers' connections
+	 * @param maximumBodyBytes the maximum size of a request body in bytes
+	 * @param keepAnswers the retention time of a finished answer
+	 * @param keepAnswerBytes the maximum size of retained answers in bytes
+	 * @param maximumRequests the maximum number of concurrent requests
+	 * @param handOverAfter the time after which a graceful stop hands requests over to
+	 * other entries
+	 * @param stopPatience the maximum time for which a graceful stop keeps the
+	 * connections of callers open
 	 */
 	public record Callers(
 			@SettingsKey(meaning = "the address and port to listen on, port 0 for a free one",
@@ -85,10 +87,10 @@
 	}
 
 	/**
-	 * The side towards the other entries.
+	 * The settings of the connections to other entries.
 	 *
 	 * @param address the address to listen on
-	 * @param seeds the addresses of other entries
+	 * @param seeds the initial addresses of other entries
 	 * @param nearby the other data centers whose entries may hold requests
 	 */
 	public record Peers(
@@ -102,13 +104,14 @@
 	}
 
 	/**
-	 * The platform.
+	 * The settings of the platform's clients.
 	 *
 	 * @param address the platform's address
-	 * @param timeout the time for one answer
+	 * @param timeout the timeout of one response
 	 * @param listInterval the time between reads of the list of VMs
-	 * @param readWait how long a read may wait at the platform
-	 * @param profileReaders the entries of a data center that read the profiles
+	 * @param readWait the maximum time that a read waits at the platform for new data
+	 * @param profileReaders the number of entries of each data center that read the
+	 * profiles from the log; 0 for all
 	 */
 	public record Platform(@SettingsKey(meaning = "the platform's address") URI address,
 			@SettingsKey(meaning = "the time for one answer of the platform", defaultValue = "2s") Duration timeout,
@@ -123,13 +126,14 @@
 	}
 
 	/**
-	 * The side towards endpoints.
+	 * The settings of the connections to endpoints.
 	 *
-	 * @param connectTimeout the time to reach an endpoint
-	 * @param answerTimeout the time until an endpoint's answer begins
-	 * @param loadInterval the time between load reports
-	 * @param region the other data centers of this one's region
-	 * @param promptWeight how much dearer than its time the computing of a prompt counts
+	 * @param connectTimeout the timeout for connecting to an endpoint
+	 * @param answerTimeout the timeout for the start of an endpoint's response
+	 * @param loadInterval the time between reads of an engine's load report
+	 * @param region the other data centers of the region
+	 * @param promptWeight the factor by which placement weights the time of prompt
+	 * computation
 	 */
 	public record Endpoints(
 			@SettingsKey(meaning = "the time to reach an endpoint", defaultValue = "1s") Duration connectTimeout,
@@ -165,13 +169,13 @@
 	}
 
 	/**
-	 * The key ledger.
+	 * The settings of the key ledger.
 	 *
 	 * @param slots the number of key slots
-	 * @param batchWindow how long intents are gathered for one append
-	 * @param keyWindow how long a key is remembered
-	 * @param answerWindow how long the answer under a key is kept
-	 * @param retention how long the log keeps records
+	 * @param batchWindow the time for which intents are batched into one append
+	 * @param keyWindow the retention time of a key
+	 * @param answerWindow the retention time of the answer of a key
+	 * @param retention the retention time of the log's records
 	 */
 	public record Ledger(
 			@SettingsKey(
@@ -189,10 +193,11 @@
 	}
 
 	/**
-	 * What is written beside the logs.
+	 * The files written in addition to the logs.
 	 *
-	 * @param events the file for recorded events
-	 * @param samples the file for the samples that the burn report reads
+	 * @param events the file for recorded events; {@code null} for none
+	 * @param samples the file for the samples that the burn report reads; {@code null}
+	 * for none
 	 */
 	public record Files(
 			@SettingsKey(meaning = "the file that every event is recorded to for replay, none by default",
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EventClock.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EventClock.java
@@ -4,8 +4,9 @@
 import java.time.InstantSource;
 
 /**
- * The clock that the core sees: it stands still while an event is handled, so that a
- * recorded event and its time give the same decisions again. Used by the tick loop only.
+ * The clock that the core reads. Its time is constant while an event is handled, so that
+ * replaying a recorded event at its recorded time gives the same decisions. Not
+ * thread-safe; used by the tick loop only.
  */
 final class EventClock implements InstantSource {
 
@@ -23,8 +24,8 @@
 		return this.now;
 	}
 
-	// Moves on to the time of the next event; never back, when the system's clock is set
-	// back.
+	// Advances to the time of the next event. Never goes back, also if the system clock
+	// is set back.
 	Instant advance() {
 		Instant next = this.source.instant();
 		if (next.isAfter(this.now)) {
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EventSink.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EventSink.java
@@ -3,13 +3,13 @@
 import org.banyancove.core.entry.EntryEvent;
 
 /**
- * Takes events for the tick loop; safe for use by many threads, and never waits.
+ * Accepts events for the tick loop. Thread-safe and non-blocking.
  */
 @FunctionalInterface
 public interface EventSink {
 
 	/**
-	 * Passes an event to the tick loop.
+	 * Adds an event to the queue of the tick loop.
 	 * @param event the event
 	 */
 	void post(EntryEvent event);
--- a/banyancove-entry/src/main/java/org/banyancove/entry/JsonTraceRecorder.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/JsonTraceRecorder.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records events as JSON lines: first who the entry is and its random seed, then an event
- * a line.
+ * Records events as JSON lines: the entry's identity and random seed first, then one line
+ * per event.
  */
 final class JsonTraceRecorder implements TraceRecorder {
 
@@ -41,9 +41,9 @@
 			this.writer.println(this.mapper.write(new TraceLine.Handled(at, event)));
 		}
 		catch (IllegalArgumentException ex) {
-			// A trace with a hole is worth less; an event that is not handled is a
-			// request without an answer.
-			logger.warn("The trace misses an event", ex);
+			// Continue without the event: a trace with a gap is less useful, but an
+			// event that is not handled leaves a request without an answer.
+			logger.warn("Failed to record an event; the trace is incomplete", ex);
 		}
 	}
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/SampleRecorder.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/SampleRecorder.java
@@ -13,8 +13,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counts ended requests against their profiles' objectives, and writes them to a file for
- * the burn report where the settings name one.
+ * Counts finished requests against the objectives of their profiles, and writes them to a
+ * file for the burn report if the settings name one.
  */
 final class SampleRecorder implements AutoCloseable {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/StatusDocument.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/StatusDocument.java
@@ -10,7 +10,7 @@
 import org.banyancove.core.routing.Endpoint;
 
 /**
- * The state of an entry for operators, in JSON.
+ * The JSON document with the state of an entry for operators.
  */
 final class StatusDocument {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/TraceRecorder.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/TraceRecorder.java
@@ -5,7 +5,7 @@
 import org.banyancove.core.entry.EntryEvent;
 
 /**
- * Records the events of a run, so that it can be replayed.
+ * Records the events of a run for replay.
  */
 public interface TraceRecorder extends AutoCloseable {
 
@@ -20,7 +20,7 @@
 
 	/**
 	 * Records an event that is about to be handled.
-	 * @param at the time that the core sees
+	 * @param at the time of the core's clock
 	 * @param event the event
 	 */
 	void record(Instant at, EntryEvent event);
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/Accounts.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/Accounts.java
@@ -8,27 +8,27 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The callers' accounts by credential, from the settings.
+ * Authenticates callers by the bearer credentials of the settings.
  */
 public final class Accounts {
 
-	private static final String SCHEME = "Bearer ";
+	private static final String BEARER_PREFIX = "Bearer ";
 
 	private final Map<String, AccountName> byCredential;
 
 	/**
 	 * Creates the table.
-	 * @param byCredential the account of each credential
+	 * @param byCredential the accounts by bearer credential
 	 */
 	public Accounts(Map<String, AccountName> byCredential) {
 		this.byCredential = Map.copyOf(byCredential);
 	}
 
 	AccountName authenticate(@Nullable String authorization) {
-		if (authorization == null || !authorization.startsWith(SCHEME)) {
+		if (authorization == null || !authorization.startsWith(BEARER_PREFIX)) {
 			throw new BanyancoveException(ErrorKind.ACCOUNT_UNKNOWN, "header 'Authorization: Bearer …' is missing");
 		}
-		AccountName account = this.byCredential.get(authorization.substring(SCHEME.length()));
+		AccountName account = this.byCredential.get(authorization.substring(BEARER_PREFIX.length()));
 		if (account == null) {
 			throw new BanyancoveException(ErrorKind.ACCOUNT_UNKNOWN, "the credential belongs to no account");
 		}
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/AnswerJson.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/AnswerJson.java
@@ -9,7 +9,7 @@
 import org.banyancove.core.entry.AnswerPart;
 
 /**
- * The JSON of answers, in the form that clients of chat interfaces expect.
+ * Writes answers as JSON in the format of the chat completions API.
  */
 final class AnswerJson {
 
@@ -48,7 +48,7 @@
 		choice.put("index", 0);
 		choice.putObject("delta");
 		choice.put("finish_reason", end.finishReason());
-		usage(root, end);
+		addUsage(root, end);
 		return write(root);
 	}
 
@@ -60,7 +60,7 @@
 		choice.put("index", 0);
 		choice.putObject("message").put("role", "assistant").put("content", text);
 		choice.put("finish_reason", end.finishReason());
-		usage(root, end);
+		addUsage(root, end);
 		return write(root);
 	}
 
@@ -71,7 +71,7 @@
 		return root;
 	}
 
-	private void usage(ObjectNode root, AnswerPart.EndOfText end) {
+	private void addUsage(ObjectNode root, AnswerPart.EndOfText end) {
 		ObjectNode usage = root.putObject("usage");
 		usage.put("prompt_tokens", end.promptTokens());
 		usage.put("completion_tokens", end.tokens());
@@ -83,7 +83,7 @@
 			return this.mapper.writeValueAsString(root);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("A tree of text and numbers can always be written", ex);
+			throw new IllegalStateException("A JSON tree of strings and numbers must be serializable", ex);
 		}
 	}
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/AnswerWriter.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/AnswerWriter.java
@@ -13,11 +13,11 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Writes the parts of one answer to one caller, on the caller's own thread.
+ * Writes the parts of one answer to one caller, on the thread of the caller's exchange.
  */
 final class AnswerWriter {
 
-	private static final String JSON = "application/json";
+	private static final String APPLICATION_JSON = "application/json";
 
 	private static final int OK = 200;
 
@@ -33,9 +33,9 @@
 		this.json = json;
 	}
 
-	// Writes the answer as server-sent events. The headers leave when the request is
-	// accepted, so that a caller whose connection breaks knows the identifier to come
-	// back with.
+	// Writes the answer as server-sent events. The headers are sent as soon as the
+	// request is accepted, so that a caller has the request identifier with which it
+	// can reconnect after its connection fails.
 	void writeEvents(CallerConnection connection) throws IOException, InterruptedException {
 		AnswerPart first = connection.next();
 		if (first instanceof AnswerPart.Failure failure) {
@@ -52,8 +52,8 @@
 		}
 	}
 
-	// Writes the answer in one piece.
-	void writeWhole(CallerConnection connection) throws IOException, InterruptedException {
+	// Writes the answer as one HTTP response, after its last part.
+	void writeComplete(CallerConnection connection) throws IOException, InterruptedException {
 		StringBuilder text = new StringBuilder();
 		while (true) {
 			switch (connection.next()) {
@@ -63,7 +63,7 @@
 				case AnswerPart.Text piece -> text.append(piece.text());
 				case AnswerPart.EndOfText end -> {
 					byte[] body = utf8(this.json.completion(this.request, text.toString(), end));
-					write(OK, JSON, CallExecution.RAN, body);
+					write(OK, APPLICATION_JSON, CallExecution.RAN, body);
 					return;
 				}
 				case AnswerPart.Whole whole -> {
@@ -84,10 +84,11 @@
 	void writeFailure(AnswerPart.Failure failure) throws IOException {
 		Duration retryAfter = failure.retryAfter();
 		if (retryAfter != null) {
-			headers().set("Retry-After", String.valueOf(wholeSeconds(retryAfter)));
+			headers().set("Retry-After", String.valueOf(roundUpToSeconds(retryAfter)));
 		}
 		headers().set(CallerHeaders.ERROR_CODE, failure.kind().code());
-		write(failure.kind().status(), JSON, failure.execution(), utf8(this.json.failure(this.request, failure)));
+		write(failure.kind().status(), APPLICATION_JSON, failure.execution(),
+				utf8(this.json.failure(this.request, failure)));
 	}
 
 	private void writeEvents(AnswerPart first, CallerConnection connection, OutputStream output)
@@ -135,9 +136,9 @@
 		return headers;
 	}
 
-	// Rounds up: a caller that comes back a fraction of a second early would be refused
-	// again.
-	private static long wholeSeconds(Duration duration) {
+	// Rounds up, since a caller that retries a fraction of a second early would be
+	// rejected again.
+	private static long roundUpToSeconds(Duration duration) {
 		return Math.max(1, duration.plusMillis(999).toSeconds());
 	}
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/CallerConnection.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/CallerConnection.java
@@ -7,8 +7,8 @@
 import org.banyancove.core.entry.SubscriberId;
 
 /**
- * The queue between the tick loop, which never waits, and the thread that writes to one
- * caller.
+ * An unbounded queue of answer parts for one caller. It separates the tick loop, which
+ * must not block, from the thread that writes to the caller.
  */
 final class CallerConnection {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/CallerConnections.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/CallerConnections.java
@@ -8,42 +8,42 @@
 import org.banyancove.core.entry.SubscriberId;
 
 /**
- * The callers that wait at this entry; safe for use by many threads.
+ * The connections of the callers that wait for an answer of this entry. Thread-safe.
  */
 public final class CallerConnections {
 
-	private final Map<SubscriberId, CallerConnection> open = new ConcurrentHashMap<>();
+	private final Map<SubscriberId, CallerConnection> connections = new ConcurrentHashMap<>();
 
 	private final AtomicLong lastId = new AtomicLong();
 
 	/**
-	 * Passes a part of an answer to a caller, if the caller is still there.
+	 * Delivers a part of an answer to a caller; ignored if the connection is closed.
 	 * @param subscriber the caller's connection
 	 * @param part the part
 	 */
 	public void deliver(SubscriberId subscriber, AnswerPart part) {
-		CallerConnection connection = this.open.get(subscriber);
+		CallerConnection connection = this.connections.get(subscriber);
 		if (connection != null) {
 			connection.deliver(part);
 		}
 	}
 
 	/**
-	 * Returns how many callers wait.
-	 * @return the number of open connections
+	 * Returns the number of open connections.
+	 * @return the number
 	 */
 	public int size() {
-		return this.open.size();
+		return this.connections.size();
 	}
 
 	CallerConnection open() {
 		CallerConnection connection = new CallerConnection(new SubscriberId(this.lastId.incrementAndGet()));
-		this.open.put(connection.id(), connection);
+		this.connections.put(connection.id(), connection);
 		return connection;
 	}
 
 	void close(CallerConnection connection) {
-		this.open.remove(connection.id());
+		this.connections.remove(connection.id());
 	}
 
 }
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/CallerServer.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/CallerServer.java
@@ -27,25 +27,26 @@
 import org.slf4j.MDC;
 
 /**
- * The HTTP server that callers speak to. Each request has a virtual thread of its own,
- * which reads the request, posts it to the tick loop and writes the answer's parts.
+ * The HTTP server for callers. Each request is served on a virtual thread of its own,
+ * which reads the request, posts it to the tick loop and writes the parts of the answer.
  */
 public final class CallerServer implements AutoCloseable {
 
 	private static final Logger logger = LoggerFactory.getLogger(CallerServer.class);
 
-	private static final String SERVICES = "/services/";
+	private static final String SERVICES_PATH = "/services/";
 
-	private static final String REQUESTS = "/v1/requests/";
+	private static final String REQUESTS_PATH = "/v1/requests/";
 
-	private static final String REQUEST_ID_KEY = "requestId";
+	private static final String REQUEST_ID_MDC_KEY = "requestId";
 
 	/**
-	 * An answer is out of the core before its last bytes are out of this process, and a
-	 * caller whose body is still being read is not known to the core: closed at once,
-	 * both would see a broken connection. The wait ends as soon as no exchange runs.
+	 * The time for which running exchanges may complete after a stop. The core completes
+	 * an answer before its last bytes are sent, and does not yet track a request whose
+	 * body is still being read; an immediate close would break both connections. The wait
+	 * ends as soon as no exchange is running.
 	 */
-	private static final int LAST_BYTES_SECONDS = 2;
+	private static final int STOP_GRACE_SECONDS = 2;
 
 	private final HttpServer server;
 
@@ -64,14 +65,15 @@
 	private final Supplier<RequestId> requestIds;
 
 	/**
-	 * Creates the server and takes its address; it answers after {@link #start()}.
+	 * Creates the server and binds its address; it serves requests after
+	 * {@link #start()}.
 	 * @param settings the address and limits
-	 * @param connections the callers that wait
+	 * @param connections the connections of waiting callers
 	 * @param events the tick loop
-	 * @param requestIds mints identifiers that no other process mints
-	 * @param status answers the operators' paths
-	 * @throws BanyancoveException with {@link ErrorKind#ADDRESS_IN_USE} if the address is
-	 * taken
+	 * @param requestIds generates globally unique request identifiers
+	 * @param status serves the status pages of operators
+	 * @throws BanyancoveException with {@link ErrorKind#ADDRESS_IN_USE} if the address
+	 * cannot be bound
 	 */
 	public CallerServer(CallerServerSettings settings, CallerConnections connections, EventSink events,
 			Supplier<RequestId> requestIds, StatusPages status) {
@@ -82,21 +84,21 @@
 		this.server = bind(settings.address());
 		this.server.setExecutor(this.executor);
 		this.server.createContext("/v1/chat/completions", (exchange) -> handle(exchange, this::chat));
-		this.server.createContext(REQUESTS, (exchange) -> handle(exchange, this::reconnect));
-		this.server.createContext(SERVICES, (exchange) -> handle(exchange, this::plainCall));
+		this.server.createContext(REQUESTS_PATH, (exchange) -> handle(exchange, this::reconnect));
+		this.server.createContext(SERVICES_PATH, (exchange) -> handle(exchange, this::plainCall));
 		this.server.createContext("/", status);
 	}
 
 	/**
-	 * Starts to answer.
+	 * Starts to serve requests.
 	 */
 	public void start() {
 		this.server.start();
 	}
 
 	/**
-	 * Returns the address that was taken.
-	 * @return the address, with the port that was free where the settings gave port 0
+	 * Returns the bound address.
+	 * @return the address, with the assigned port if the settings have port 0
 	 */
 	public InetSocketAddress address() {
 		return this.server.getAddress();
@@ -104,25 +106,25 @@
 
 	@Override
 	public void close() {
-		this.server.stop(LAST_BYTES_SECONDS);
+		this.server.stop(STOP_GRACE_SECONDS);
 		this.executor.shutdownNow();
 	}
 
 	private void handle(HttpExchange exchange, CallerHandler handler) {
 		RequestId request = this.requestIds.get();
 		AnswerWriter writer = new AnswerWriter(exchange, request, this.json);
-		MDC.put(REQUEST_ID_KEY, request.value());
+		MDC.put(REQUEST_ID_MDC_KEY, request.value());
 		try (exchange) {
 			answer(exchange, request, writer, handler);
 		}
 		catch (IOException ex) {
-			logger.debug("The caller's connection broke", ex);
+			logger.debug("Caller connection failed", ex);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
 		finally {
-			MDC.remove(REQUEST_ID_KEY);
+			MDC.remove(REQUEST_ID_MDC_KEY);
 		}
 	}
 
@@ -148,35 +150,37 @@
 		ChatRequest chat = ChatRequest.read(this.mapper, body);
 		Call call = new Call(request, account, chat.service(), "POST", exchange.getRequestURI().getPath(),
 				"application/json", Body.copyOf(body), idempotencyKey(exchange), chat.prompt());
-		converse(request, (connection) -> new EntryEvent.CallArrived(connection.id(), call), writer, chat.stream());
+		postAndWriteAnswer(request, (connection) -> new EntryEvent.CallArrived(connection.id(), call), writer,
+				chat.stream());
 	}
 
 	private void plainCall(HttpExchange exchange, RequestId request, AccountName account, AnswerWriter writer)
 			throws IOException, InterruptedException {
-		String rest = pathWithQuery(exchange.getRequestURI()).substring(SERVICES.length());
-		int end = rest.indexOf('/');
-		String service = (end < 0) ? rest : rest.substring(0, end);
-		String path = (end < 0) ? "/" : rest.substring(end);
+		String remainder = pathWithQuery(exchange.getRequestURI()).substring(SERVICES_PATH.length());
+		int end = remainder.indexOf('/');
+		String service = (end < 0) ? remainder : remainder.substring(0, end);
+		String path = (end < 0) ? "/" : remainder.substring(end);
 		String contentType = exchange.getRequestHeaders().getFirst("Content-Type");
 		Call call = new Call(request, account, new ServiceName(service), exchange.getRequestMethod(), path,
 				(contentType != null) ? contentType : "application/octet-stream", Body.copyOf(readBody(exchange)),
 				idempotencyKey(exchange), null);
-		converse(request, (connection) -> new EntryEvent.CallArrived(connection.id(), call), writer, false);
+		postAndWriteAnswer(request, (connection) -> new EntryEvent.CallArrived(connection.id(), call), writer, false);
 	}
 
 	private void reconnect(HttpExchange exchange, RequestId request, AccountName account, AnswerWriter writer)
 			throws IOException, InterruptedException {
 		requireMethod(exchange, "GET");
-		RequestId wanted = new RequestId(exchange.getRequestURI().getPath().substring(REQUESTS.length()));
-		String lastEvent = exchange.getRequestHeaders().getFirst("Last-Event-ID");
-		long fromOffset = (lastEvent != null) ? Long.parseLong(lastEvent) : 0;
-		AnswerWriter wantedWriter = new AnswerWriter(exchange, wanted, this.json);
+		RequestId original = new RequestId(exchange.getRequestURI().getPath().substring(REQUESTS_PATH.length()));
+		String lastEventId = exchange.getRequestHeaders().getFirst("Last-Event-ID");
+		long fromOffset = (lastEventId != null) ? Long.parseLong(lastEventId) : 0;
+		AnswerWriter originalWriter = new AnswerWriter(exchange, original, this.json);
 		boolean stream = acceptsEvents(exchange);
-		converse(wanted, (connection) -> new EntryEvent.CallerReturned(connection.id(), wanted, account, fromOffset),
-				wantedWriter, stream);
+		postAndWriteAnswer(original,
+				(connection) -> new EntryEvent.CallerReturned(connection.id(), original, account, fromOffset),
+				originalWriter, stream);
 	}
 
-	private void converse(RequestId request, EventFactory arrival, AnswerWriter writer, boolean stream)
+	private void postAndWriteAnswer(RequestId request, EventFactory arrival, AnswerWriter writer, boolean stream)
 			throws IOException, InterruptedException {
 		CallerConnection connection = this.connections.open();
 		try {
@@ -185,7 +189,7 @@
 				writer.writeEvents(connection);
 			}
 			else {
-				writer.writeWhole(connection);
+				writer.writeComplete(connection);
 			}
 		}
 		finally {
@@ -238,7 +242,7 @@
 	}
 
 	/**
-	 * One kind of request.
+	 * Handles one kind of request.
 	 */
 	@FunctionalInterface
 	private interface CallerHandler {
@@ -249,7 +253,7 @@
 	}
 
 	/**
-	 * Makes the event that a connection begins with.
+	 * Creates the first event of a connection.
 	 */
 	@FunctionalInterface
 	private interface EventFactory {
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/ChatRequest.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/ChatRequest.java
@@ -10,11 +10,11 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * A chat request in the form that clients of chat interfaces send.
+ * A request of the chat completions API.
  *
  * @param service the service, named by the field {@code model}
- * @param prompt what placement needs to know of the messages
- * @param stream whether the caller wants the answer as server-sent events
+ * @param prompt the properties of the messages that placement uses
+ * @param stream whether the caller requests the answer as server-sent events
  */
 record ChatRequest(ServiceName service, Prompt prompt, boolean stream) {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/package-info.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The side towards callers: HTTP, JSON and server-sent events.
+ * The adapter for callers: HTTP, JSON and server-sent events.
  */
 @NullMarked
 package org.banyancove.entry.caller;
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/Attempt.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/Attempt.java
@@ -10,8 +10,8 @@
  * @param request the request
  * @param number the attempt's number within the request
  * @param endpoint the endpoint
- * @param address the endpoint's address, host and port
- * @param content what is sent
+ * @param address the endpoint's host and port
+ * @param content the request to send
  */
 public record Attempt(RequestId request, int number, EndpointId endpoint, String address, AttemptRequest content) {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EndpointClient.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EndpointClient.java
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs attempts at endpoints, each on a virtual thread of its own, and posts what comes
- * back to the tick loop.
+ * Runs attempts at endpoints, each on a virtual thread of its own, and posts the results
+ * to the tick loop.
  */
 public final class EndpointClient implements AutoCloseable {
 
@@ -39,13 +39,13 @@
 
 	private static final int OK = 200;
 
-	private static final int REDIRECTION = 300;
+	private static final int MULTIPLE_CHOICES = 300;
 
 	private static final int TOO_MANY_REQUESTS = 429;
 
-	private static final int UNAVAILABLE = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
-	private static final String CHAT = "/v1/chat/completions";
+	private static final String CHAT_COMPLETIONS_PATH = "/v1/chat/completions";
 
 	private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
 
@@ -61,8 +61,8 @@
 
 	/**
 	 * Creates the client.
-	 * @param connectTimeout the time to reach an endpoint
-	 * @param answerTimeout the time until an endpoint's answer begins
+	 * @param connectTimeout the timeout for connecting to an endpoint
+	 * @param answerTimeout the timeout for the start of an endpoint's response
 	 * @param events the tick loop
 	 */
 	public EndpointClient(Duration connectTimeout, Duration answerTimeout, EventSink events) {
@@ -72,7 +72,7 @@
 	}
 
 	/**
-	 * Starts an attempt; its end is always posted, unless it is cancelled.
+	 * Starts an attempt; its result is always posted unless the attempt is cancelled.
 	 * @param attempt the attempt
 	 */
 	public void start(Attempt attempt) {
@@ -83,11 +83,11 @@
 	}
 
 	/**
-	 * Drops the connection of an attempt. What it still delivers is told apart by its
-	 * number.
+	 * Cancels an attempt and closes its connection. Events that it still posts are
+	 * recognized by the attempt's number.
 	 * @param request the request
 	 * @param number the attempt's number
-	 * @param endpoint the endpoint, whose next request gets a new connection
+	 * @param endpoint the endpoint, whose next request uses a new connection
 	 */
 	public void cancel(RequestId request, int number, EndpointId endpoint) {
 		this.connections.replace(endpoint);
@@ -98,19 +98,20 @@
 	}
 
 	/**
-	 * Tells an engine that nobody wants a stream any longer, without waiting for it.
+	 * Cancels a stream at its engine, without waiting for the response.
 	 * @param request the request
 	 * @param endpoint the endpoint
 	 * @param address the endpoint's address
 	 */
 	public void cancelStream(RequestId request, EndpointId endpoint, String address) {
-		HttpRequest delete = request(address, "/v1/streams/" + request).DELETE().build();
-		this.connections.client(endpoint).sendAsync(delete, HttpResponse.BodyHandlers.discarding());
+		HttpRequest cancelRequest = request(address, "/v1/streams/" + request).DELETE().build();
+		this.connections.client(endpoint).sendAsync(cancelRequest, HttpResponse.BodyHandlers.discarding());
 	}
 
 	/**
-	 * Copies a stream's KV cache from one engine to another and posts whether it did.
-	 * @param move the stream and the engines
+	 * Copies a stream's KV cache from one engine to another and posts whether the target
+	 * imported it.
+	 * @param move the stream, the source and the target
 	 */
 	public void moveCache(EntryCommand.MoveCache move) {
 		this.executor.execute(() -> {
@@ -119,7 +120,7 @@
 				imported = copyCache(move);
 			}
 			catch (IOException ex) {
-				logger.info("KV cache of {} could not be copied from {}", move.request(), move.source(), ex);
+				logger.info("Failed to copy the KV cache of request {} from {}", move.request(), move.source(), ex);
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
@@ -130,11 +131,11 @@
 	}
 
 	/**
-	 * Frees what is kept for an endpoint that is gone.
+	 * Releases the resources of an endpoint that no longer exists.
 	 * @param endpoint the endpoint
 	 */
-	public void forget(EndpointId endpoint) {
-		this.connections.forget(endpoint);
+	public void remove(EndpointId endpoint) {
+		this.connections.remove(endpoint);
 	}
 
 	@Override
@@ -162,14 +163,15 @@
 				case AttemptRequest.Generate generate -> stream(attempt, generate(attempt, generate), 0);
 				case AttemptRequest.Reattach reattach ->
 					stream(attempt, reattach(attempt, reattach), reattach.fromOffset());
-				case AttemptRequest.Continue rest -> stream(attempt, resume(attempt, rest), rest.fromOffset());
+				case AttemptRequest.Continue continuation ->
+					stream(attempt, resume(attempt, continuation), continuation.fromOffset());
 			};
 		}
 		catch (ConnectException | HttpConnectTimeoutException ex) {
 			return new AttemptResult.NeverSent("cannot connect to " + attempt.address());
 		}
 		catch (IOException ex) {
-			logger.debug("Attempt {} of {} broke", attempt.number(), attempt.request(), ex);
+			logger.debug("Attempt {} of request {} failed", attempt.number(), attempt.request(), ex);
 			return new AttemptResult.Broken(String.valueOf(ex.getMessage()));
 		}
 		catch (InterruptedException ex) {
@@ -188,8 +190,8 @@
 		if (call.idempotencyKey() != null) {
 			request.header("Idempotency-Key", call.idempotencyKey());
 		}
-		boolean asksFirst = call.atMostOnce() && call.body().length() > 0;
-		request.expectContinue(asksFirst);
+		boolean expectsContinue = call.atMostOnce() && call.body().length() > 0;
+		request.expectContinue(expectsContinue);
 		try {
 			HttpResponse<byte[]> response = client(attempt).send(request.build(),
 					HttpResponse.BodyHandlers.ofByteArray());
@@ -200,7 +202,7 @@
 			throw ex;
 		}
 		catch (IOException ex) {
-			if (asksFirst && !body.requested()) {
+			if (expectsContinue && !body.requested()) {
 				this.connections.replace(attempt.endpoint());
 				return new AttemptResult.NeverSent("no go-ahead from " + attempt.address());
 			}
@@ -218,25 +220,25 @@
 		return request(attempt.address(), path).timeout(this.answerTimeout).GET().build();
 	}
 
-	private HttpRequest resume(Attempt attempt, AttemptRequest.Continue rest) throws IOException {
-		ObjectNode body = chat(rest.body());
-		body.putObject("resume").put("offset", rest.fromOffset()).put("text", rest.text());
-		return chatRequest(attempt, body, rest.priority());
+	private HttpRequest resume(Attempt attempt, AttemptRequest.Continue continuation) throws IOException {
+		ObjectNode body = chat(continuation.body());
+		body.putObject("resume").put("offset", continuation.fromOffset()).put("text", continuation.text());
+		return chatRequest(attempt, body, continuation.priority());
 	}
 
 	private boolean copyCache(EntryCommand.MoveCache move) throws IOException, InterruptedException {
 		String path = "/v1/kv/" + move.request();
-		HttpRequest export = request(move.source(), path).timeout(this.answerTimeout).GET().build();
+		HttpRequest exportRequest = request(move.source(), path).timeout(this.answerTimeout).GET().build();
 		HttpClient client = this.connections.client(move.target());
-		HttpResponse<byte[]> cache = client.send(export, HttpResponse.BodyHandlers.ofByteArray());
+		HttpResponse<byte[]> cache = client.send(exportRequest, HttpResponse.BodyHandlers.ofByteArray());
 		if (cache.statusCode() != OK) {
 			return false;
 		}
-		HttpRequest put = request(move.targetAddress(), path).timeout(this.answerTimeout)
+		HttpRequest importRequest = request(move.targetAddress(), path).timeout(this.answerTimeout)
 			.PUT(HttpRequest.BodyPublishers.ofByteArray(cache.body()))
 			.build();
-		int status = client.send(put, HttpResponse.BodyHandlers.discarding()).statusCode();
-		return status >= OK && status < REDIRECTION;
+		int status = client.send(importRequest, HttpResponse.BodyHandlers.discarding()).statusCode();
+		return status >= OK && status < MULTIPLE_CHOICES;
 	}
 
 	private AttemptResult stream(Attempt attempt, HttpRequest request, long fromOffset)
@@ -244,7 +246,7 @@
 		HttpResponse<InputStream> response = client(attempt).send(request, HttpResponse.BodyHandlers.ofInputStream());
 		try (InputStream input = response.body()) {
 			int status = response.statusCode();
-			if (status == TOO_MANY_REQUESTS || status == UNAVAILABLE) {
+			if (status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE) {
 				return new AttemptResult.Refused(status, "the engine takes no more work");
 			}
 			if (status != OK) {
@@ -263,7 +265,7 @@
 	}
 
 	private HttpRequest chatRequest(Attempt attempt, ObjectNode body, int priority) throws IOException {
-		return request(attempt.address(), CHAT).timeout(this.answerTimeout)
+		return request(attempt.address(), CHAT_COMPLETIONS_PATH).timeout(this.answerTimeout)
 			.header("Content-Type", "application/json")
 			.header("X-Request-Id", attempt.request().value())
 			.header("X-Attempt", String.valueOf(attempt.number()))
@@ -281,7 +283,7 @@
 	}
 
 	/**
-	 * What tells running attempts apart.
+	 * Identifies a running attempt.
 	 */
 	private record AttemptKey(RequestId request, int number) {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EndpointConnections.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EndpointConnections.java
@@ -8,50 +8,51 @@
 import org.banyancove.core.EndpointId;
 
 /**
- * The HTTP clients towards endpoints; safe for use by many threads.
+ * The HTTP clients for endpoints. Thread-safe.
  * <p>
- * All endpoints share one client until one of them breaks or goes silent. Its next
- * request then gets a client of its own: the JDK's pool would hand the silent connection
- * out again, and every request on it would wait for its whole timeout.
+ * All endpoints share one client until a connection to one of them fails or becomes
+ * unresponsive. That endpoint then gets a client of its own, because the JDK's pool would
+ * reuse the unresponsive connection and every request on it would wait for its full
+ * timeout.
  */
 final class EndpointConnections implements AutoCloseable {
 
 	private final Duration connectTimeout;
 
-	private final HttpClient shared;
+	private final HttpClient sharedClient;
 
-	private final Map<EndpointId, HttpClient> replaced = new ConcurrentHashMap<>();
+	private final Map<EndpointId, HttpClient> dedicatedClients = new ConcurrentHashMap<>();
 
 	EndpointConnections(Duration connectTimeout) {
 		this.connectTimeout = connectTimeout;
-		this.shared = newClient();
+		this.sharedClient = newClient();
 	}
 
 	HttpClient client(EndpointId endpoint) {
-		return this.replaced.getOrDefault(endpoint, this.shared);
+		return this.dedicatedClients.getOrDefault(endpoint, this.sharedClient);
 	}
 
-	// Makes sure that the endpoint's next request gets a new connection. Requests that
-	// run on the old client go on.
+	// Ensures that the endpoint's next request uses a new connection. Requests in flight
+	// on the previous client continue.
 	void replace(EndpointId endpoint) {
-		HttpClient old = this.replaced.put(endpoint, newClient());
-		if (old != null) {
-			old.shutdown();
+		HttpClient previous = this.dedicatedClients.put(endpoint, newClient());
+		if (previous != null) {
+			previous.shutdown();
 		}
 	}
 
-	// Drops the client of an endpoint that is gone.
-	void forget(EndpointId endpoint) {
-		HttpClient old = this.replaced.remove(endpoint);
-		if (old != null) {
-			old.shutdown();
+	// Shuts down the client of an endpoint that no longer exists.
+	void remove(EndpointId endpoint) {
+		HttpClient previous = this.dedicatedClients.remove(endpoint);
+		if (previous != null) {
+			previous.shutdown();
 		}
 	}
 
 	@Override
 	public void close() {
-		this.shared.shutdownNow();
-		this.replaced.values().forEach(HttpClient::shutdownNow);
+		this.sharedClient.shutdownNow();
+		this.dedicatedClients.values().forEach(HttpClient::shutdownNow);
 	}
 
 	private HttpClient newClient() {
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/LoadFeed.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EngineLoadPoller.java
@@ -24,11 +24,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the load reports and cache events of engines at an interval.
+ * Polls the load reports and cache events of engines.
  */
-public final class LoadFeed {
+public final class EngineLoadPoller {
 
-	private static final Logger logger = LoggerFactory.getLogger(LoadFeed.class);
+	private static final Logger logger = LoggerFactory.getLogger(EngineLoadPoller.class);
 
 	private static final int OK = 200;
 
@@ -43,41 +43,41 @@
 	private final EventSink events;
 
 	/**
-	 * Creates the feed.
-	 * @param timeout the time for one read
+	 * Creates the poller.
+	 * @param timeout the timeout of one read
 	 * @param events the tick loop
 	 */
-	public LoadFeed(Duration timeout, EventSink events) {
+	public EngineLoadPoller(Duration timeout, EventSink events) {
 		this.client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(timeout).build();
 		this.timeout = timeout;
 		this.events = events;
 	}
 
 	/**
-	 * Starts to read.
+	 * Starts to poll.
 	 * @param interval the time between reads of one engine
-	 * @param timer times the reads
+	 * @param timer schedules the reads
 	 */
 	public void start(Duration interval, ScheduledExecutorService timer) {
-		timer.scheduleWithFixedDelay(this::readAll, 0, interval.toMillis(), TimeUnit.MILLISECONDS);
+		timer.scheduleWithFixedDelay(this::pollAll, 0, interval.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Sets the engines to read from.
-	 * @param addresses the addresses of all engines
+	 * Sets the engines to poll.
+	 * @param addresses the addresses by endpoint
 	 */
-	public void follow(Map<EndpointId, String> addresses) {
+	public void setEngines(Map<EndpointId, String> addresses) {
 		this.engines.keySet().retainAll(addresses.keySet());
 		addresses.forEach((id, address) -> this.engines.computeIfAbsent(id, (key) -> new Engine(id, address)));
 	}
 
-	private void readAll() {
-		this.engines.values().forEach(this::read);
+	private void pollAll() {
+		this.engines.values().forEach(this::poll);
 	}
 
-	private void read(Engine engine) {
-		get(engine, "/v1/load", (node) -> this.events.post(new EntryEvent.LoadReported(engine.id, report(node))));
-		get(engine, "/v1/cache-events?after=" + engine.lastCacheEvent, (node) -> cacheEvents(engine, node));
+	private void poll(Engine engine) {
+		get(engine, "/v1/load", (node) -> this.events.post(new EntryEvent.LoadReported(engine.id, parseReport(node))));
+		get(engine, "/v1/cache-events?after=" + engine.lastCacheEventSequence, (node) -> postCacheEvents(engine, node));
 	}
 
 	private void get(Engine engine, String path, NodeReader reader) {
@@ -87,22 +87,22 @@
 			.build();
 		this.client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).whenComplete((response, failure) -> {
 			if (failure != null || response.statusCode() != OK) {
-				logger.debug("{} of {} cannot be read", path, engine.id, failure);
+				logger.debug("Failed to read {} from endpoint {}", path, engine.id, failure);
 				return;
 			}
 			try {
 				reader.read(this.mapper.readTree(response.body()));
 			}
 			catch (IOException | RuntimeException ex) {
-				logger.info("{} of {} makes no sense", path, engine.id, ex);
+				logger.info("Malformed response to {} from endpoint {}", path, engine.id, ex);
 			}
 		});
 	}
 
-	private void cacheEvents(Engine engine, JsonNode node) {
+	private void postCacheEvents(Engine engine, JsonNode node) {
 		for (JsonNode event : node.path("events")) {
 			long sequence = event.path("sequence").asLong();
-			engine.lastCacheEvent = Math.max(engine.lastCacheEvent, sequence);
+			engine.lastCacheEventSequence = Math.max(engine.lastCacheEventSequence, sequence);
 			boolean stored = event.path("kind").asText().equals("stored");
 			CacheChange.Kind kind = stored ? CacheChange.Kind.STORED : CacheChange.Kind.EVICTED;
 			PromptPrefix prefix = PromptPrefix.ofHex(event.path("prefix").asText(), event.path("tokens").asInt());
@@ -110,14 +110,14 @@
 		}
 	}
 
-	private static LoadReport report(JsonNode node) {
+	private static LoadReport parseReport(JsonNode node) {
 		return new LoadReport(Instant.parse(node.path("asOf").asText()), node.path("running").asInt(),
 				node.path("queued").asInt(), node.path("tokensPerSecond").asDouble(),
 				node.path("kvUsedTokens").asLong(), node.path("kvLimitTokens").asLong());
 	}
 
 	/**
-	 * Takes the JSON of one answer.
+	 * Processes the JSON of one response.
 	 */
 	@FunctionalInterface
 	private interface NodeReader {
@@ -127,7 +127,7 @@
 	}
 
 	/**
-	 * One engine that is followed.
+	 * One polled engine.
 	 */
 	private static final class Engine {
 
@@ -135,7 +135,7 @@
 
 		private final String address;
 
-		private volatile long lastCacheEvent = -1;
+		private volatile long lastCacheEventSequence = -1;
 
 		Engine(EndpointId id, String address) {
 			this.id = id;
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EngineStreamReader.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/EngineStreamReader.java
@@ -12,21 +12,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the server-sent events of one engine stream.
+ * Reads the server-sent events of one token stream of an engine.
  */
 final class EngineStreamReader {
 
-	private static final String ID = "id:";
+	private static final String ID_PREFIX = "id:";
 
-	private static final String DATA = "data:";
+	private static final String DATA_PREFIX = "data:";
 
-	private static final String DONE = "[DONE]";
+	private static final String DONE_MARKER = "[DONE]";
 
 	private final ObjectMapper mapper;
 
 	private long offset;
 
-	private long idOfEvent;
+	private long lastEventId;
 
 	private long recomputedTokens;
 
@@ -38,36 +38,36 @@
 	}
 
 	/**
-	 * Reads to the end of the stream.
-	 * @param input the response's body
-	 * @param pieces takes each piece as it comes
-	 * @return how the stream ended; {@link AttemptResult.Broken} where it stops before
-	 * its last event
+	 * Reads the stream to its end.
+	 * @param input the response body
+	 * @param pieces receives each piece as it arrives
+	 * @return the result; {@link AttemptResult.Broken} if the stream ends before its last
+	 * event
 	 */
 	AttemptResult read(InputStream input, PieceListener pieces) throws IOException {
 		BufferedReader reader = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
 		for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-			if (line.startsWith(ID)) {
-				this.idOfEvent = Long.parseLong(line.substring(ID.length()).strip());
+			if (line.startsWith(ID_PREFIX)) {
+				this.lastEventId = Long.parseLong(line.substring(ID_PREFIX.length()).strip());
 			}
-			else if (line.startsWith(DATA)) {
-				String data = line.substring(DATA.length()).strip();
-				if (data.equals(DONE)) {
-					return end();
+			else if (line.startsWith(DATA_PREFIX)) {
+				String data = line.substring(DATA_PREFIX.length()).strip();
+				if (data.equals(DONE_MARKER)) {
+					return endOfStream();
 				}
-				event(this.mapper.readTree(data), pieces);
+				handleEvent(this.mapper.readTree(data), pieces);
 			}
 		}
 		return new AttemptResult.Broken("the stream stopped at token " + this.offset + " without an end");
 	}
 
-	private void event(JsonNode data, PieceListener pieces) {
+	private void handleEvent(JsonNode data, PieceListener pieces) {
 		JsonNode choice = data.path("choices").path(0);
 		String text = choice.path("delta").path("content").asText("");
 		if (!text.isEmpty()) {
 			long tokens = countTokens(text);
-			pieces.piece(this.idOfEvent - tokens, this.idOfEvent, text);
-			this.offset = this.idOfEvent;
+			pieces.onPiece(this.lastEventId - tokens, this.lastEventId, text);
+			this.offset = this.lastEventId;
 		}
 		if (choice.path("finish_reason").isTextual()) {
 			this.finishReason = choice.path("finish_reason").asText();
@@ -75,7 +75,7 @@
 		this.recomputedTokens += data.path("usage").path("recomputed_tokens").asLong(0);
 	}
 
-	private AttemptResult end() {
+	private AttemptResult endOfStream() {
 		String reason = this.finishReason;
 		if (reason == null) {
 			return new AttemptResult.Broken("the stream ended at token " + this.offset + " without a reason");
@@ -83,7 +83,7 @@
 		return new AttemptResult.StreamEnded(this.offset, reason, this.recomputedTokens);
 	}
 
-	// Counts the words: engines send whole tokens, each one word.
+	// Counts words, since engines send complete tokens of one word each.
 	private static long countTokens(String text) {
 		return text.strip().split("\\s+").length;
 	}
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/ObservedBody.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/ObservedBody.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.Flow;
 
 /**
- * A request body that knows whether the client began to send it.
+ * A request body that records whether the client started to send it.
  * <p>
- * A call that may not be repeated waits for the endpoint's go-ahead before its body
- * leaves. A failure before that is surely "not run"; once the body was asked for, the
- * outcome is unknown.
+ * A call that must run at most once waits for the endpoint's status 100 (Continue) before
+ * its body is sent. After a failure before that, the call certainly has not run; once the
+ * body has been requested, the outcome is unknown.
  */
 final class ObservedBody implements HttpRequest.BodyPublisher {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/PieceListener.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/PieceListener.java
@@ -1,11 +1,11 @@
 package org.banyancove.entry.endpoint;
 
 /**
- * Takes the pieces of an engine's stream.
+ * Receives the pieces of an engine's token stream.
  */
 @FunctionalInterface
 interface PieceListener {
 
-	void piece(long fromOffset, long toOffset, String text);
+	void onPiece(long fromOffset, long toOffset, String text);
 
 }
--- a/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/package-info.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/endpoint/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The side towards endpoints: model engines and plain services over HTTP.
+ * The adapter for endpoints: model engines and plain services over HTTP.
  */
 @NullMarked
 package org.banyancove.entry.endpoint;
--- a/banyancove-entry/src/main/java/org/banyancove/entry/package-info.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry daemon: the adapters around the core's decisions, and the program.
+ * The entry daemon: the program and the adapters around the entry core.
  */
 @NullMarked
 package org.banyancove.entry;
--- a/banyancove-entry/src/main/java/org/banyancove/entry/platform/LogAdapter.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/platform/LogAdapter.java
@@ -26,7 +26,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The tick loop's way to the key slots on the platform's log.
+ * Reads and appends the key slots and profiles on the platform's log for the tick loop.
  */
 public final class LogAdapter {
 
@@ -38,65 +38,65 @@
 
 	private final EventSink events;
 
-	private final Duration wait;
+	private final Duration readWait;
 
 	private final ScheduledExecutorService timer;
 
-	private @Nullable StreamReader profiles;
+	private @Nullable StreamReader profilesReader;
 
 	/**
 	 * Creates the adapter.
 	 * @param log the platform's log
-	 * @param wait how long a read may wait at the log
-	 * @param timer times pauses
+	 * @param readWait the maximum time that a read waits at the log for new records
+	 * @param timer schedules retries
 	 * @param events the tick loop
 	 */
-	public LogAdapter(LogClient log, Duration wait, ScheduledExecutorService timer, EventSink events) {
+	public LogAdapter(LogClient log, Duration readWait, ScheduledExecutorService timer, EventSink events) {
 		this.log = log;
-		this.wait = wait;
+		this.readWait = readWait;
 		this.timer = timer;
 		this.events = events;
 	}
 
 	/**
-	 * Starts to follow all key slots.
+	 * Starts to read all key slots.
 	 * @param slots the number of slots
 	 */
-	public void follow(int slots) {
+	public void readKeySlots(int slots) {
 		for (int index = 0; index < slots; index++) {
 			KeySlot slot = new KeySlot(index);
-			new StreamReader(this.log, slot.streamName(), this.wait, this.timer, (page) -> read(slot, page),
-					(failure) -> {
+			new StreamReader(this.log, slot.streamName(), this.readWait, this.timer,
+					(page) -> postKeyRecords(slot, page), (failure) -> {
 					})
 				.start();
 		}
 	}
 
 	/**
-	 * Starts to read the profiles' stream.
-	 * @param fromOffset the offset to begin at
+	 * Starts to read the profiles stream.
+	 * @param fromOffset the offset of the first record to read
 	 */
 	public void readProfiles(long fromOffset) {
 		stopReadingProfiles();
-		this.profiles = new StreamReader(this.log, ProfileStream.NAME, this.wait, this.timer, this::profilesRead,
-				(failure) -> {
+		this.profilesReader = new StreamReader(this.log, ProfileStream.NAME, this.readWait, this.timer,
+				this::postProfiles, (failure) -> {
 				});
-		this.profiles.start(fromOffset);
+		this.profilesReader.start(fromOffset);
 	}
 
 	/**
-	 * Stops reading the profiles' stream.
+	 * Stops reading the profiles stream.
 	 */
 	public void stopReadingProfiles() {
-		if (this.profiles != null) {
-			this.profiles.stop();
+		if (this.profilesReader != null) {
+			this.profilesReader.stop();
 		}
 	}
 
 	/**
 	 * Appends records to a slot; the result is posted to the tick loop.
 	 * @param slot the slot
-	 * @param append identifies the append in its answer
+	 * @param append the identifier that the posted result carries
 	 * @param records the records
 	 */
 	public void append(KeySlot slot, AppendId append, List<LedgerRecord> records) {
@@ -108,7 +108,7 @@
 	}
 
 	/**
-	 * Appends a checkpoint to the profiles' stream, without waiting for its answer.
+	 * Appends a checkpoint to the profiles stream, without waiting for the result.
 	 * @param checkpoint the checkpoint
 	 */
 	public void append(ProfileRecord.ProfilesCheckpoint checkpoint) {
@@ -116,17 +116,17 @@
 		this.log.append(ProfileStream.NAME, List.of(new NewRecord(id, this.profileCodec.encode(checkpoint))));
 	}
 
-	private void read(KeySlot slot, LogPage page) {
+	private void postKeyRecords(KeySlot slot, LogPage page) {
 		List<LoggedRecord> records = new ArrayList<>();
 		for (LogRecord record : page.records()) {
 			LedgerRecord decoded = this.codec.decode(new RecordId(record.id()), record.data());
 			records.add(new LoggedRecord(record.offset(), decoded, record.appendedAt()));
 		}
-		long readTo = page.records().isEmpty() ? page.endOffset() : page.records().getLast().offset() + 1;
-		this.events.post(new EntryEvent.KeysRead(slot, page.firstRetained(), readTo, records));
+		long nextOffset = page.records().isEmpty() ? page.endOffset() : page.records().getLast().offset() + 1;
+		this.events.post(new EntryEvent.KeysRead(slot, page.firstRetained(), nextOffset, records));
 	}
 
-	private void profilesRead(LogPage page) {
+	private void postProfiles(LogPage page) {
 		this.events.post(new EntryEvent.ProfilesRead(this.profileCodec.decode(page)));
 	}
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/platform/PeerSeeds.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/platform/PeerSeeds.java
@@ -10,7 +10,8 @@
 import org.banyancove.platform.VmState;
 
 /**
- * Where other entries may be: the settings' addresses and the listed entry VMs.
+ * The candidate addresses of other entries: those of the settings and of listed entry
+ * VMs.
  */
 public final class PeerSeeds {
 
@@ -25,8 +26,8 @@
 	}
 
 	/**
-	 * Returns the seeds while the list of VMs is not known.
-	 * @return the seeds of the settings
+	 * Returns the seeds of the settings, for use before the list of VMs is available.
+	 * @return the seeds
 	 */
 	public List<PeerSeed> entries() {
 		return this.configured.stream().map((address) -> new PeerSeed(address, null, false)).toList();
--- a/banyancove-entry/src/main/java/org/banyancove/entry/platform/PriceTable.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/platform/PriceTable.java
@@ -13,16 +13,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The last known prices of VMs; safe for use by many threads.
+ * The last known prices of VMs. Thread-safe.
  */
 public final class PriceTable {
 
 	private static final Logger logger = LoggerFactory.getLogger(PriceTable.class);
 
-	/** What a VM is taken to cost until its price is known: the same for all. */
-	private static final double UNKNOWN_PRICE = 1;
+	/** The price assumed for every VM until its price is known. */
+	private static final double DEFAULT_PRICE_PER_HOUR = 1;
 
-	private static final long REFRESH_SECONDS = 60;
+	private static final long REFRESH_INTERVAL_SECONDS = 60;
 
 	private final Map<PriceKey, Double> perHour = new ConcurrentHashMap<>();
 
@@ -37,21 +37,21 @@
 	}
 
 	/**
-	 * Starts to read the prices.
-	 * @param timer times the reads
+	 * Starts to poll the prices.
+	 * @param timer schedules the reads
 	 */
 	public void start(ScheduledExecutorService timer) {
-		timer.scheduleWithFixedDelay(this::refresh, 0, REFRESH_SECONDS, TimeUnit.SECONDS);
+		timer.scheduleWithFixedDelay(this::refresh, 0, REFRESH_INTERVAL_SECONDS, TimeUnit.SECONDS);
 	}
 
 	double perHour(ZoneName zone, MachineClass machineClass) {
-		return this.perHour.getOrDefault(new PriceKey(zone, machineClass), UNKNOWN_PRICE);
+		return this.perHour.getOrDefault(new PriceKey(zone, machineClass), DEFAULT_PRICE_PER_HOUR);
 	}
 
 	private void refresh() {
 		this.cloud.prices().whenComplete((prices, failure) -> {
 			if (failure != null) {
-				logger.debug("The prices cannot be read", failure);
+				logger.debug("Failed to read the VM prices", failure);
 				return;
 			}
 			prices.stream().filter(VmPrice::reclaimable).forEach(this::put);
@@ -63,7 +63,7 @@
 	}
 
 	/**
-	 * What a price belongs to.
+	 * The zone and machine class that a price applies to.
 	 */
 	private record PriceKey(ZoneName zone, MachineClass machineClass) {
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/platform/VmFeed.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/platform/VmWatcher.java
@@ -28,13 +28,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the platform's lagging list of VMs and its reclaim notices.
+ * Polls the platform's list of VMs, which lags behind their actual state, and its reclaim
+ * notices.
  */
-public final class VmFeed {
+public final class VmWatcher {
 
-	private static final Logger logger = LoggerFactory.getLogger(VmFeed.class);
+	private static final Logger logger = LoggerFactory.getLogger(VmWatcher.class);
 
-	private static final Duration PAUSE = Duration.ofMillis(500);
+	private static final Duration NOTICE_RETRY_DELAY = Duration.ofMillis(500);
 
 	private final VmListClient list;
 
@@ -48,28 +49,28 @@
 
 	private final EventSink events;
 
-	private final Consumer<Map<EndpointId, String>> engines;
+	private final Consumer<Map<EndpointId, String>> engineAddresses;
 
 	private final EndpointRegion region;
 
 	private final PeerSeeds seeds;
 
-	private long lastNotice = -1;
+	private long lastNoticeSequence = -1;
 
 	/**
-	 * Creates the feed.
+	 * Creates the watcher.
 	 * @param list the list of VMs
 	 * @param notices the reclaim notices
 	 * @param prices the prices of VMs
-	 * @param noticeWait how long a read of notices may wait at the platform
-	 * @param timer times the reads
+	 * @param noticeWait the maximum time that a read of notices waits at the platform
+	 * @param timer schedules the reads
 	 * @param events the tick loop
-	 * @param engines takes the addresses of the region's listed engines
+	 * @param engineAddresses receives the addresses of the listed engines of the region
 	 * @param region the region
 	 * @param seeds the addresses of other entries
 	 */
-	public VmFeed(VmListClient list, NoticeClient notices, PriceTable prices, Duration noticeWait,
-			ScheduledExecutorService timer, EventSink events, Consumer<Map<EndpointId, String>> engines,
+	public VmWatcher(VmListClient list, NoticeClient notices, PriceTable prices, Duration noticeWait,
+			ScheduledExecutorService timer, EventSink events, Consumer<Map<EndpointId, String>> engineAddresses,
 			EndpointRegion region, PeerSeeds seeds) {
 		this.list = list;
 		this.notices = notices;
@@ -77,13 +78,13 @@
 		this.noticeWait = noticeWait;
 		this.timer = timer;
 		this.events = events;
-		this.engines = engines;
+		this.engineAddresses = engineAddresses;
 		this.region = region;
 		this.seeds = seeds;
 	}
 
 	/**
-	 * Starts to read.
+	 * Starts to poll.
 	 * @param interval the time between reads of the list
 	 */
 	public void start(Duration interval) {
@@ -94,35 +95,35 @@
 	private void readList() {
 		this.list.read().whenComplete((vms, failure) -> {
 			if (failure != null) {
-				logger.debug("The list of VMs cannot be read", failure);
+				logger.debug("Failed to read the list of VMs", failure);
 				return;
 			}
-			this.events.post(listed(vms));
-			this.engines.accept(engineAddresses(vms));
+			this.events.post(toEvent(vms));
+			this.engineAddresses.accept(engineAddressesIn(vms));
 		});
 	}
 
 	private void readNotices() {
-		this.notices.read(this.lastNotice, this.noticeWait).whenComplete((read, failure) -> {
+		this.notices.read(this.lastNoticeSequence, this.noticeWait).whenComplete((read, failure) -> {
 			if (this.timer.isShutdown()) {
 				return;
 			}
 			if (failure != null) {
-				this.timer.schedule(this::readNotices, PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+				this.timer.schedule(this::readNotices, NOTICE_RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
 				return;
 			}
-			read.forEach(this::announce);
+			read.forEach(this::postNotice);
 			readNotices();
 		});
 	}
 
-	private void announce(ReclaimNotice notice) {
-		this.lastNotice = Math.max(this.lastNotice, notice.sequence());
+	private void postNotice(ReclaimNotice notice) {
+		this.lastNoticeSequence = Math.max(this.lastNoticeSequence, notice.sequence());
 		this.events
 			.post(new EntryEvent.ReclaimAnnounced(new EntryEvent.ReclaimNotice(notice.vm(), notice.reclaimAt())));
 	}
 
-	private EntryEvent.VmsListed listed(VmList vms) {
+	private EntryEvent.VmsListed toEvent(VmList vms) {
 		List<EndpointDefinition> live = new ArrayList<>();
 		List<EntryEvent.ReclaimNotice> leaving = new ArrayList<>();
 		for (ListedVm vm : vms.vms()) {
@@ -130,7 +131,7 @@
 				Instant reclaimAt = vm.reclaimAt();
 				leaving.add(new EntryEvent.ReclaimNotice(vm.id(), (reclaimAt != null) ? reclaimAt : vms.asOf()));
 			}
-			EndpointDefinition endpoint = endpoint(vm);
+			EndpointDefinition endpoint = toEndpoint(vm);
 			if (endpoint != null) {
 				live.add(endpoint);
 			}
@@ -138,7 +139,7 @@
 		return new EntryEvent.VmsListed(vms.asOf(), live, leaving, this.seeds.entries(vms));
 	}
 
-	private Map<EndpointId, String> engineAddresses(VmList vms) {
+	private Map<EndpointId, String> engineAddressesIn(VmList vms) {
 		Map<EndpointId, String> addresses = new HashMap<>();
 		for (ListedVm vm : vms.vms()) {
 			String address = vm.address();
@@ -149,7 +150,7 @@
 		return addresses;
 	}
 
-	private @Nullable EndpointDefinition endpoint(ListedVm vm) {
+	private @Nullable EndpointDefinition toEndpoint(ListedVm vm) {
 		ServiceName service = vm.service();
 		String address = vm.address();
 		if (service == null || address == null) {
--- a/banyancove-entry/src/main/java/org/banyancove/entry/platform/package-info.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/platform/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The side towards the platform: its log, its list of VMs and its reclaim notices.
+ * The adapter for the platform: its log, its list of VMs and its reclaim notices.
  */
 @NullMarked
 package org.banyancove.entry.platform;
--- a/banyancove-entry/src/test/java/org/banyancove/entry/EntryProgramSettingsTests.java
+++ b/banyancove-entry/src/test/java/org/banyancove/entry/EntryProgramSettingsTests.java
@@ -22,14 +22,14 @@
 	private final SettingsReader reader = new SettingsReader();
 
 	@Test
-	void theExamplesWeighPromptsAsTheirUsersDoAndKeepAllEndpoints() {
+	void exampleSettingsSetPromptWeightAndNoRegion() {
 		assertThat(example("kowhai-lane").placement()).isEqualTo(new PlacementSettings(0.8, 4));
 		assertThat(example("lagon-bleu").placement()).isEqualTo(PlacementSettings.DEFAULT);
 		assertThat(example("lagon-bleu").region()).isEmpty();
 	}
 
 	@Test
-	void theRegionReachesTheCore(@TempDir Path directory) throws IOException {
+	void regionIsPassedToTheCore(@TempDir Path directory) throws IOException {
 		EntrySettings settings = EntryDaemon
 			.coreSettings(this.reader.read(file(directory, "region = [\"trou-deau\"]"), EntryProgramSettings.class));
 		assertThat(settings.region()).containsExactly(new DataCenterName("trou-deau"));
@@ -37,7 +37,7 @@
 
 	@ParameterizedTest
 	@ValueSource(doubles = { 0.5, -1, 100.5 })
-	void aPromptWeightOutOfRangeIsRefused(double weight, @TempDir Path directory) throws IOException {
+	void promptWeightOutOfRangeIsRejected(double weight, @TempDir Path directory) throws IOException {
 		Path file = file(directory, "prompt-weight = " + weight);
 		assertThatExceptionOfType(BanyancoveException.class)
 			.isThrownBy(() -> this.reader.read(file, EntryProgramSettings.class))
--- a/banyancove-entry/src/test/java/org/banyancove/entry/TraceReplayTests.java
+++ b/banyancove-entry/src/test/java/org/banyancove/entry/TraceReplayTests.java
@@ -26,33 +26,33 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Traces that a running entry recorded, replayed through the core against what its
- * callers saw then.
+ * Replays traces of a running entry through the core and compares the answers with those
+ * that the callers received.
  */
 class TraceReplayTests {
 
 	private static final int TOKENS = 20;
 
-	// A caller asks for a plan, books a delivery and repeats the booking under its key.
-	// The plan comes whole, the booking runs once and its repeat gets the stored answer,
-	// since the intent and the outcome stand in the log.
+	// A caller requests a plan, books a delivery and repeats the booking with the same
+	// key. The plan must be complete and the booking must run once: its intent and its
+	// outcome are in the log, so the repeated call returns the stored answer.
 	@Test
-	void aPlanAndARepeatedBooking() throws Exception {
+	void repeatedCallReturnsTheStoredAnswer() throws Exception {
 		Replay replay = Replay.of("booking");
-		replay.assertOneWholePlan();
+		replay.assertOneCompletePlan();
 		List<AnswerPart.Whole> answers = replay.parts(AnswerPart.Whole.class).toList();
 		assertThat(answers).extracting(AnswerPart.Whole::repeated).containsExactly(false, true);
 		assertThat(answers).extracting(AnswerPart.Whole::body).containsOnly(answers.getFirst().body());
 		assertThat(replay.attempts(AttemptRequest.PlainCall.class)).isEqualTo(1);
 	}
 
-	// A caller streams a plan, and the engine's connection is cut after five tokens. The
-	// caller sees no break: the entry asks the same engine over a new connection for the
-	// rest before it computes anything again.
+	// The connection to the engine fails after five tokens of a streamed plan. The entry
+	// must request the remaining tokens from the same engine over a new connection
+	// before it has any token recomputed, and the caller's stream must have no gap.
 	@Test
-	void aStreamThatIsCutGoesOnOverANewConnection() throws Exception {
+	void interruptedStreamIsReattachedOverANewConnection() throws Exception {
 		Replay replay = Replay.of("cut");
-		replay.assertOneWholePlan();
+		replay.assertOneCompletePlan();
 		assertThat(replay.attempts(AttemptRequest.Generate.class)).isEqualTo(1);
 		assertThat(replay.attempts(AttemptRequest.Reattach.class)).isEqualTo(1);
 		assertThat(replay.attempts(AttemptRequest.Continue.class)).isZero();
@@ -104,7 +104,7 @@
 				.count();
 		}
 
-		void assertOneWholePlan() {
+		void assertOneCompletePlan() {
 			long next = 0;
 			for (AnswerPart.Text text : parts(AnswerPart.Text.class).toList()) {
 				assertThat(text.fromOffset()).isEqualTo(next);
