--- a/banyancove-transport/src/main/java/org/banyancove/transport/ConnectionHandler.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/ConnectionHandler.java
@@ -16,19 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One end of a connection: turns frames into messages, keeps the connection from being
- * silent, and drops it when it is.
+ * Handles one end of a connection: decodes frames into messages, exchanges keep-alives,
+ * and closes the connection after a read timeout.
  * <p>
- * Something between two ends may lose track of a connection, which then stays open and
- * carries nothing: the symptom is a peer that seems dead while new connections to it
- * work. Both ends therefore say something at intervals, and an end that hears nothing for
- * the silence timeout closes the connection, so that the next message opens a new one.
+ * A network device between two peers may lose its state of a connection, which then stays
+ * open but carries no data: the peer appears dead although new connections to it succeed.
+ * The end that opened the connection therefore sends a keep-alive at an interval, the
+ * other end answers it, and an end that receives nothing for the silence timeout closes
+ * the connection, so that the next message opens a new one.
  */
 final class ConnectionHandler extends ChannelDuplexHandler {
 
 	private static final Logger logger = LoggerFactory.getLogger(ConnectionHandler.class);
 
-	private final boolean caller;
+	private final boolean initiator;
 
 	private final TransportSettings settings;
 
@@ -38,8 +39,9 @@
 
 	private long keepAliveSequence;
 
-	ConnectionHandler(boolean caller, TransportSettings settings, TransportCounters counters, PeerListener listener) {
-		this.caller = caller;
+	ConnectionHandler(boolean initiator, TransportSettings settings, TransportCounters counters,
+			PeerListener listener) {
+		this.initiator = initiator;
 		this.settings = settings;
 		this.counters = counters;
 		this.listener = listener;
@@ -47,7 +49,7 @@
 
 	@Override
 	public void channelActive(ChannelHandlerContext context) {
-		if (this.caller) {
+		if (this.initiator) {
 			scheduleKeepAlive(context);
 		}
 		context.fireChannelActive();
@@ -62,7 +64,7 @@
 			boolean message = !envelope.hasKeepAlive();
 			this.counters.countReceived(message, size + PeerTransport.LENGTH_BYTES);
 			if (message) {
-				this.listener.received(PeerMessageCodec.decode(envelope));
+				this.listener.onMessage(PeerMessageCodec.decode(envelope));
 			}
 			else if (!envelope.getKeepAlive().getAnswer()) {
 				writeKeepAlive(context, envelope.getKeepAlive().getSequence(), true);
@@ -84,8 +86,8 @@
 	@Override
 	public void userEventTriggered(ChannelHandlerContext context, Object event) {
 		if (event instanceof IdleStateEvent) {
-			this.counters.countSilent();
-			logger.warn("Dropping a connection to {} that went silent", context.channel().remoteAddress());
+			this.counters.countTimedOut();
+			logger.warn("Closing connection to {} after the silence timeout", context.channel().remoteAddress());
 			context.close();
 			return;
 		}
@@ -95,12 +97,11 @@
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
 		if (cause instanceof IOException && !(cause instanceof InvalidProtocolBufferException)) {
-			logger.debug("Connection to {} broke", context.channel().remoteAddress(), cause);
+			logger.debug("Connection to {} failed", context.channel().remoteAddress(), cause);
 		}
 		else {
 			this.counters.countMalformed();
-			logger.warn("Dropping a connection to {} that brought no message", context.channel().remoteAddress(),
-					cause);
+			logger.warn("Closing connection to {} after a malformed message", context.channel().remoteAddress(), cause);
 		}
 		context.close();
 	}
--- a/banyancove-transport/src/main/java/org/banyancove/transport/PeerLink.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/PeerLink.java
@@ -17,11 +17,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The way to one peer: a bounded queue and at most one connection, which is made again
- * with a growing delay. All but {@link #send} runs on one event loop.
+ * The link to one peer: a bounded queue and at most one connection, which is reopened
+ * with exponential backoff. All state except the queue size is confined to one event
+ * loop.
  * <p>
- * A message that was written is not kept: if the connection breaks under it, it is lost,
- * and its sender in the core sends it again when no answer comes.
+ * A message is not retained after it is written. If the connection then fails, the
+ * message is lost, and the core resends it if it receives no answer.
  */
 final class PeerLink {
 
@@ -39,9 +40,9 @@
 
 	private final AtomicInteger queued = new AtomicInteger();
 
-	private final Promise<Void> ended;
+	private final Promise<Void> closeFuture;
 
-	private final Deque<Envelope> waiting = new ArrayDeque<>();
+	private final Deque<Envelope> pending = new ArrayDeque<>();
 
 	private @Nullable Channel channel;
 
@@ -51,7 +52,7 @@
 
 	private int failures;
 
-	private long lastUse;
+	private long lastUseNanos;
 
 	PeerLink(InetSocketAddress address, Bootstrap bootstrap, EventLoop eventLoop, TransportSettings settings,
 			TransportCounters counters, RandomGenerator random) {
@@ -61,7 +62,7 @@
 		this.settings = settings;
 		this.counters = counters;
 		this.random = random;
-		this.ended = eventLoop.newPromise();
+		this.closeFuture = eventLoop.newPromise();
 	}
 
 	boolean send(Envelope envelope) {
@@ -75,33 +76,33 @@
 	}
 
 	/**
-	 * Closes the connection once what was written is on its way.
-	 * @return completes when the connection is closed
+	 * Drops queued messages and closes the connection after pending writes complete.
+	 * @return a future that completes when the connection is closed
 	 */
 	Future<Void> close() {
 		this.eventLoop.execute(() -> {
 			this.closed = true;
-			dropWaiting();
-			closeIfWritten();
+			dropPending();
+			closeIfNothingQueued();
 		});
-		return this.ended;
+		return this.closeFuture;
 	}
 
 	boolean isIdle(long now) {
-		return this.queued.get() == 0 && now - this.lastUse > this.settings.idleTimeout().toNanos();
+		return this.queued.get() == 0 && now - this.lastUseNanos > this.settings.idleTimeout().toNanos();
 	}
 
 	private void enqueue(Envelope envelope) {
-		this.lastUse = System.nanoTime();
+		this.lastUseNanos = System.nanoTime();
 		if (this.closed) {
 			this.queued.decrementAndGet();
 			this.counters.countDropped();
 			return;
 		}
-		this.waiting.add(envelope);
+		this.pending.add(envelope);
 		Channel open = this.channel;
 		if (open != null && open.isActive()) {
-			writeWaiting(open);
+			writePending(open);
 		}
 		else if (!this.connecting) {
 			connect();
@@ -116,15 +117,15 @@
 		ChannelFuture attempt = this.bootstrap.connect(this.address);
 		attempt.addListener((future) -> {
 			if (future.isSuccess()) {
-				connected(attempt.channel());
+				onConnected(attempt.channel());
 			}
 			else {
-				retryLater();
+				scheduleReconnect();
 			}
 		});
 	}
 
-	private void connected(Channel open) {
+	private void onConnected(Channel open) {
 		this.connecting = false;
 		if (this.closed) {
 			open.close();
@@ -133,59 +134,59 @@
 		this.failures = 0;
 		this.channel = open;
 		this.counters.countConnection();
-		open.closeFuture().addListener((future) -> disconnected(open));
-		writeWaiting(open);
+		open.closeFuture().addListener((future) -> onDisconnected(open));
+		writePending(open);
 	}
 
-	private void disconnected(Channel closedChannel) {
+	private void onDisconnected(Channel closedChannel) {
 		if (this.channel == closedChannel) {
 			this.channel = null;
 		}
-		if (!this.waiting.isEmpty() && !this.connecting) {
+		if (!this.pending.isEmpty() && !this.connecting) {
 			connect();
 		}
 	}
 
-	private void retryLater() {
-		long longest = this.settings.longestBackoff().toMillis();
-		long delay = Math.min(longest, this.settings.firstBackoff().toMillis() << Math.min(this.failures, 16));
+	private void scheduleReconnect() {
+		long maximumDelay = this.settings.longestBackoff().toMillis();
+		long delay = Math.min(maximumDelay, this.settings.firstBackoff().toMillis() << Math.min(this.failures, 16));
 		this.failures++;
-		long jittered = delay / 2 + this.random.nextLong(delay / 2 + 1);
-		this.eventLoop.schedule(this::connect, jittered, TimeUnit.MILLISECONDS);
+		long jitteredDelay = delay / 2 + this.random.nextLong(delay / 2 + 1);
+		this.eventLoop.schedule(this::connect, jitteredDelay, TimeUnit.MILLISECONDS);
 	}
 
-	private void writeWaiting(Channel open) {
-		Envelope next = this.waiting.poll();
+	private void writePending(Channel open) {
+		Envelope next = this.pending.poll();
 		while (next != null) {
 			open.write(next).addListener((future) -> {
 				this.queued.decrementAndGet();
 				if (!future.isSuccess()) {
 					this.counters.countDropped();
 				}
-				closeIfWritten();
+				closeIfNothingQueued();
 			});
-			next = this.waiting.poll();
+			next = this.pending.poll();
 		}
 		open.flush();
 	}
 
-	private void closeIfWritten() {
+	private void closeIfNothingQueued() {
 		if (!this.closed || this.queued.get() > 0) {
 			return;
 		}
 		Channel open = this.channel;
 		if (open == null) {
-			this.ended.trySuccess(null);
+			this.closeFuture.trySuccess(null);
 			return;
 		}
-		open.close().addListener((future) -> this.ended.trySuccess(null));
+		open.close().addListener((future) -> this.closeFuture.trySuccess(null));
 	}
 
-	private void dropWaiting() {
-		int count = this.waiting.size();
-		this.waiting.clear();
+	private void dropPending() {
+		int count = this.pending.size();
+		this.pending.clear();
 		this.queued.addAndGet(-count);
-		for (int each = 0; each < count; each++) {
+		for (int index = 0; index < count; index++) {
 			this.counters.countDropped();
 		}
 	}
--- a/banyancove-transport/src/main/java/org/banyancove/transport/PeerListener.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/PeerListener.java
@@ -3,16 +3,16 @@
 import org.banyancove.core.peer.PeerMessage;
 
 /**
- * Receives the messages of peers. Called on the transport's thread, so that an
- * implementation only passes the message on.
+ * Receives the messages of peers. Called on the transport's thread, so an implementation
+ * must not block and only hands the message to another thread.
  */
 @FunctionalInterface
 public interface PeerListener {
 
 	/**
-	 * Takes a message.
+	 * Called for each received message.
 	 * @param message the message
 	 */
-	void received(PeerMessage message);
+	void onMessage(PeerMessage message);
 
 }
--- a/banyancove-transport/src/main/java/org/banyancove/transport/PeerMessageCodec.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/PeerMessageCodec.java
@@ -43,7 +43,7 @@
 import org.banyancove.wire.WireSuspectVerdict;
 
 /**
- * Turns messages between entry processes into protobuf and back.
+ * Converts messages between entry processes to and from protobuf.
  */
 public final class PeerMessageCodec {
 
@@ -55,7 +55,7 @@
 	/**
 	 * Encodes a message.
 	 * @param message the message
-	 * @return its protobuf form
+	 * @return the envelope with the message
 	 */
 	public static Envelope encode(PeerMessage message) {
 		Envelope.Builder envelope = Envelope.newBuilder().setFrom(WireValues.encode(message.from()));
@@ -123,10 +123,10 @@
 
 	/**
 	 * Decodes a message.
-	 * @param envelope its protobuf form
+	 * @param envelope the envelope with the message
 	 * @return the message
-	 * @throws IllegalArgumentException if a field has a value that no message has, or the
-	 * envelope has no message that this version knows
+	 * @throws IllegalArgumentException if a field has an invalid value, or the envelope
+	 * has no message that this version supports
 	 */
 	public static PeerMessage decode(Envelope envelope) {
 		Incarnation from = WireValues.decode(envelope.getFrom());
@@ -157,7 +157,7 @@
 			case CLAIM_FORWARD -> decode(from, envelope.getClaimForward());
 			case CLAIM_FORWARD_ANSWER -> decode(from, envelope.getClaimForwardAnswer());
 			case KEEP_ALIVE, MESSAGE_NOT_SET ->
-				throw new IllegalArgumentException("envelope must hold a message: " + envelope.getMessageCase());
+				throw new IllegalArgumentException("envelope must contain a message: " + envelope.getMessageCase());
 		};
 	}
 
--- a/banyancove-transport/src/main/java/org/banyancove/transport/PeerTransport.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/PeerTransport.java
@@ -29,15 +29,15 @@
 import org.banyancove.wire.Envelope;
 
 /**
- * Sends messages to peers and receives theirs. Messages may be lost, repeated by their
- * senders, and reordered between connections; they are never garbled. One thread of its
- * own does all input and output.
+ * Sends messages to peers and receives their messages. Messages may be lost, resent by
+ * their senders, and reordered between connections, but are never corrupted. A single
+ * dedicated thread performs all input and output.
  */
 public final class PeerTransport implements AutoCloseable {
 
 	static final int LENGTH_BYTES = 4;
 
-	private static final long CLOSE_SECONDS = 5;
+	private static final long CLOSE_TIMEOUT_SECONDS = 5;
 
 	private final TransportSettings settings;
 
@@ -58,25 +58,25 @@
 	private final Map<String, PeerLink> links = new ConcurrentHashMap<>();
 
 	/**
-	 * Creates the transport; it neither listens nor connects yet.
-	 * @param settings limits and times
-	 * @param random the source of jitter between tries to connect
+	 * Creates the transport, without listening or connecting.
+	 * @param settings the limits and timeouts
+	 * @param random the random generator for the jitter of reconnect delays
 	 * @param listener the receiver of messages, called on the transport's thread
 	 */
 	public PeerTransport(TransportSettings settings, RandomGenerator random, PeerListener listener) {
 		this.settings = settings;
 		this.random = random;
 		this.listener = listener;
-		long sweep = settings.idleTimeout().toMillis();
-		this.eventLoop.scheduleAtFixedRate(this::closeIdle, sweep, sweep, TimeUnit.MILLISECONDS);
+		long sweepMillis = settings.idleTimeout().toMillis();
+		this.eventLoop.scheduleAtFixedRate(this::closeIdle, sweepMillis, sweepMillis, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Listens for peers.
-	 * @param address the address; port 0 takes a free one
-	 * @return the address that is listened on
+	 * Listens for connections of peers.
+	 * @param address the address; port 0 selects a free port
+	 * @return the bound address
 	 * @throws BanyancoveException with {@link ErrorKind#ADDRESS_IN_USE} if the address
-	 * can't be taken
+	 * cannot be bound
 	 */
 	public InetSocketAddress listen(InetSocketAddress address) {
 		ServerBootstrap server = new ServerBootstrap().group(this.group)
@@ -94,11 +94,11 @@
 	}
 
 	/**
-	 * Sends a message, without waiting for anything.
+	 * Sends a message without blocking.
 	 * @param address the peer's address in the form {@code host:port}
 	 * @param message the message
-	 * @return whether the message was queued; {@code false} if it was dropped, since the
-	 * peer's queue is full, the message is larger than a frame may be, or the transport
+	 * @return whether the message was queued; {@code false} if it was dropped because the
+	 * peer's queue is full, the message exceeds the maximum frame size, or the transport
 	 * is closed
 	 * @throws IllegalArgumentException if the address has no port
 	 */
@@ -112,15 +112,15 @@
 	}
 
 	/**
-	 * Returns the transport's counts.
-	 * @return the counts
+	 * Returns the counters of the transport.
+	 * @return the counters
 	 */
 	public TransportCounters counters() {
 		return this.counters;
 	}
 
 	/**
-	 * Closes all connections after what was queued is written, and ends the thread.
+	 * Closes all connections after the queued messages are written, and stops the thread.
 	 */
 	@Override
 	public void close() {
@@ -131,10 +131,10 @@
 			.stream()
 			.map(PeerLink::close)
 			.toList()
-			.forEach((link) -> link.awaitUninterruptibly(CLOSE_SECONDS, TimeUnit.SECONDS));
-		this.channels.close().awaitUninterruptibly(CLOSE_SECONDS, TimeUnit.SECONDS);
-		this.group.shutdownGracefully(0, CLOSE_SECONDS, TimeUnit.SECONDS)
-			.awaitUninterruptibly(CLOSE_SECONDS, TimeUnit.SECONDS);
+			.forEach((link) -> link.awaitUninterruptibly(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+		this.channels.close().awaitUninterruptibly(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+		this.group.shutdownGracefully(0, CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+			.awaitUninterruptibly(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
 	}
 
 	private PeerLink newLink(String address) {
@@ -161,7 +161,7 @@
 		});
 	}
 
-	private ChannelInitializer<Channel> initializer(boolean caller) {
+	private ChannelInitializer<Channel> initializer(boolean initiator) {
 		return new ChannelInitializer<>() {
 
 			@Override
@@ -173,7 +173,7 @@
 					.addLast(new LengthFieldBasedFrameDecoder(PeerTransport.this.settings.maximumFrameBytes(), 0,
 							LENGTH_BYTES, 0, LENGTH_BYTES))
 					.addLast(new LengthFieldPrepender(LENGTH_BYTES))
-					.addLast(new ConnectionHandler(caller, PeerTransport.this.settings, PeerTransport.this.counters,
+					.addLast(new ConnectionHandler(initiator, PeerTransport.this.settings, PeerTransport.this.counters,
 							PeerTransport.this.listener));
 			}
 
--- a/banyancove-transport/src/main/java/org/banyancove/transport/TransportCounters.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/TransportCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts of the transport, for metrics and tests. Safe for use by several threads.
+ * The counters of the transport, for metrics and tests. Thread-safe.
  */
 public final class TransportCounters {
 
@@ -19,7 +19,7 @@
 
 	private final LongAdder connections = new LongAdder();
 
-	private final LongAdder silent = new LongAdder();
+	private final LongAdder timedOut = new LongAdder();
 
 	private final LongAdder malformed = new LongAdder();
 
@@ -27,66 +27,65 @@
 	}
 
 	/**
-	 * Returns the messages written, keep-alives not counted.
-	 * @return the messages
+	 * Returns the number of messages written, without keep-alives.
+	 * @return the number of messages
 	 */
 	public long sent() {
 		return this.sent.sum();
 	}
 
 	/**
-	 * Returns the bytes written, keep-alives and length fields counted.
-	 * @return the bytes
+	 * Returns the number of bytes written, with keep-alives and length fields.
+	 * @return the number of bytes
 	 */
 	public long sentBytes() {
 		return this.sentBytes.sum();
 	}
 
 	/**
-	 * Returns the messages read, keep-alives not counted.
-	 * @return the messages
+	 * Returns the number of messages read, without keep-alives.
+	 * @return the number of messages
 	 */
 	public long received() {
 		return this.received.sum();
 	}
 
 	/**
-	 * Returns the bytes read, keep-alives and length fields counted.
-	 * @return the bytes
+	 * Returns the number of bytes read, with keep-alives and length fields.
+	 * @return the number of bytes
 	 */
 	public long receivedBytes() {
 		return this.receivedBytes.sum();
 	}
 
 	/**
-	 * Returns the messages dropped, since their peer's queue was full, they were too
-	 * large, or the connection broke under them.
-	 * @return the messages
+	 * Returns the number of messages dropped because their peer's queue was full, they
+	 * were too large, the transport was closed, or the write failed.
+	 * @return the number of messages
 	 */
 	public long dropped() {
 		return this.dropped.sum();
 	}
 
 	/**
-	 * Returns the connections made to peers.
-	 * @return the connections
+	 * Returns the number of connections opened to peers.
+	 * @return the number of connections
 	 */
 	public long connections() {
 		return this.connections.sum();
 	}
 
 	/**
-	 * Returns the connections that were dropped since they had gone silent.
-	 * @return the connections
+	 * Returns the number of connections closed after the silence timeout.
+	 * @return the number of connections
 	 */
-	public long silent() {
-		return this.silent.sum();
+	public long timedOut() {
+		return this.timedOut.sum();
 	}
 
 	/**
-	 * Returns the connections that were dropped since they brought bytes that are no
-	 * message.
-	 * @return the connections
+	 * Returns the number of connections closed after a malformed message.
+	 * @return the number of connections
 	 */
 	public long malformed() {
 		return this.malformed.sum();
@@ -114,8 +113,8 @@
 		this.connections.increment();
 	}
 
-	void countSilent() {
-		this.silent.increment();
+	void countTimedOut() {
+		this.timedOut.increment();
 	}
 
 	void countMalformed() {
--- a/banyancove-transport/src/main/java/org/banyancove/transport/TransportSettings.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/TransportSettings.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Limits and times of the transport.
+ * The limits and timeouts of the transport.
  *
- * @param maximumFrameBytes the largest message taken or sent, in bytes
- * @param maximumQueued the most messages that wait for one peer
- * @param connectTimeout the time that a connection may take to be made
- * @param keepAliveInterval the time between two signs of life on a connection
- * @param silenceTimeout the time without any byte after which a connection is dropped
- * @param idleTimeout the time without a message to send after which a connection is
+ * @param maximumFrameBytes the maximum size of a message received or sent, in bytes
+ * @param maximumQueued the maximum number of messages queued for one peer
+ * @param connectTimeout the timeout for opening a connection
+ * @param keepAliveInterval the time between two keep-alives on a connection
+ * @param silenceTimeout the time without a received byte after which a connection is
  * closed
- * @param firstBackoff the time before the second try to connect
- * @param longestBackoff the longest time between two tries
+ * @param idleTimeout the time without a message to send after which a link is closed
+ * @param firstBackoff the delay before the second connection attempt
+ * @param longestBackoff the maximum delay between two connection attempts
  */
 public record TransportSettings(int maximumFrameBytes, int maximumQueued, Duration connectTimeout,
 		Duration keepAliveInterval, Duration silenceTimeout, Duration idleTimeout, Duration firstBackoff,
@@ -21,8 +21,8 @@
 
 	/**
 	 * Creates the settings.
-	 * @throws IllegalArgumentException if a value is not positive or a connection could
-	 * fall silent between two signs of life
+	 * @throws IllegalArgumentException if a value is not positive, or the silence timeout
+	 * is shorter than two keep-alive intervals
 	 */
 	public TransportSettings {
 		if (maximumFrameBytes <= 0 || maximumQueued <= 0) {
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Returns the settings that fit a data center's network.
+	 * Returns the default settings, which suit the network of a data center.
 	 * @return the settings
 	 */
 	public static TransportSettings defaults() {
--- a/banyancove-transport/src/main/java/org/banyancove/transport/WireValues.java
+++ b/banyancove-transport/src/main/java/org/banyancove/transport/WireValues.java
@@ -34,14 +34,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Turns the values that messages between entry processes are made of into protobuf and
- * back.
+ * Converts the values in messages between entry processes to and from protobuf.
  */
 final class WireValues {
 
-	private static final String STATUS_PREFIX = "PEER_STATUS_";
+	private static final String PEER_STATUS_PREFIX = "PEER_STATUS_";
 
-	private static final String KIND_PREFIX = "CALL_KIND_";
+	private static final String CALL_KIND_PREFIX = "CALL_KIND_";
 
 	private WireValues() {
 	}
@@ -61,7 +60,7 @@
 			.setZone(state.zone().value())
 			.setAddress(state.address())
 			.setRefutation(state.refutation())
-			.setStatus(WirePeerStatus.valueOf(STATUS_PREFIX + state.status()))
+			.setStatus(WirePeerStatus.valueOf(PEER_STATUS_PREFIX + state.status()))
 			.build();
 	}
 
@@ -69,7 +68,7 @@
 		return states.stream()
 			.map((state) -> new PeerState(decode(state.getIncarnation()), new DataCenterName(state.getDataCenter()),
 					new ZoneName(state.getZone()), state.getAddress(), state.getRefutation(),
-					PeerStatus.valueOf(withoutPrefix(STATUS_PREFIX, state.getStatus()))))
+					PeerStatus.valueOf(withoutPrefix(PEER_STATUS_PREFIX, state.getStatus()))))
 			.toList();
 	}
 
@@ -78,7 +77,7 @@
 			.setRequest(held.request().value())
 			.setAccount(held.account().value())
 			.setService(held.service().value())
-			.setKind(WireCallKind.valueOf(KIND_PREFIX + held.kind()))
+			.setKind(WireCallKind.valueOf(CALL_KIND_PREFIX + held.kind()))
 			.setProfileOffset(held.profileOffset())
 			.setMethod(held.method())
 			.setPath(held.path())
@@ -93,7 +92,7 @@
 
 	static HeldRequest decode(WireHeldRequest wire) {
 		return new HeldRequest(new RequestId(wire.getRequest()), new AccountName(wire.getAccount()),
-				new ServiceName(wire.getService()), CallKind.valueOf(withoutPrefix(KIND_PREFIX, wire.getKind())),
+				new ServiceName(wire.getService()), CallKind.valueOf(withoutPrefix(CALL_KIND_PREFIX, wire.getKind())),
 				wire.getProfileOffset(), wire.getMethod(), wire.getPath(), decode(wire.getBody()),
 				optional(wire.hasIdempotencyKey(), () -> wire.getIdempotencyKey()),
 				Instant.ofEpochMilli(wire.getDeadlineMillis()));
--- a/banyancove-transport/src/test/java/org/banyancove/transport/BlackHoleProxy.java
+++ b/banyancove-transport/src/test/java/org/banyancove/transport/BlackHoleProxy.java
@@ -10,19 +10,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Something between two ends that has lost track of the first connection: it stays open,
- * its bytes are read and thrown away, and nothing comes back. Later connections work.
+ * A proxy that simulates a network device which has lost its state of the first
+ * connection: the connection stays open, its bytes are read and discarded, and nothing is
+ * sent back. Later connections are forwarded.
  */
-final class SwallowingProxy implements AutoCloseable {
+final class BlackHoleProxy implements AutoCloseable {
 
 	private final ServerSocket server;
 
-	private final int target;
+	private final int targetPort;
 
 	private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-	SwallowingProxy(int target) throws IOException {
-		this.target = target;
+	BlackHoleProxy(int targetPort) throws IOException {
+		this.targetPort = targetPort;
 		this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 		Thread.ofVirtual().start(this::acceptAll);
 	}
@@ -43,16 +44,16 @@
 		boolean first = true;
 		while (!this.server.isClosed()) {
 			try {
-				Socket near = this.server.accept();
-				this.sockets.add(near);
+				Socket client = this.server.accept();
+				this.sockets.add(client);
 				if (first) {
-					Thread.ofVirtual().start(() -> swallow(near));
+					Thread.ofVirtual().start(() -> discard(client));
 				}
 				else {
-					Socket far = new Socket(InetAddress.getLoopbackAddress(), this.target);
-					this.sockets.add(far);
-					Thread.ofVirtual().start(() -> copy(near, far));
-					Thread.ofVirtual().start(() -> copy(far, near));
+					Socket upstream = new Socket(InetAddress.getLoopbackAddress(), this.targetPort);
+					this.sockets.add(upstream);
+					Thread.ofVirtual().start(() -> copy(client, upstream));
+					Thread.ofVirtual().start(() -> copy(upstream, client));
 				}
 				first = false;
 			}
@@ -64,12 +65,12 @@
 		}
 	}
 
-	private static void swallow(Socket socket) {
+	private static void discard(Socket socket) {
 		try (InputStream input = socket.getInputStream()) {
 			input.skip(Long.MAX_VALUE);
 		}
 		catch (IOException ex) {
-			// The sender dropped the connection, as it should.
+			// Expected: the sender closed the connection.
 		}
 	}
 
@@ -78,7 +79,7 @@
 			from.getInputStream().transferTo(to.getOutputStream());
 		}
 		catch (IOException ex) {
-			// One of the ends closed the connection.
+			// Expected: one of the peers closed the connection.
 		}
 	}
 
--- a/banyancove-transport/src/test/java/org/banyancove/transport/ControlCostTests.java
+++ b/banyancove-transport/src/test/java/org/banyancove/transport/ControlCostTests.java
@@ -37,9 +37,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What membership costs a daemon, counted over the real encoding on a fake clock. The
- * bytes are the same on every run of a seed; processor time is printed, not checked. The
- * fleet's full size is run by command: {@code -Dbanyancove.control.full=true}.
+ * Tests the membership traffic of a daemon, with the real encoding and a simulated clock.
+ * The byte counts are deterministic for a seed; processor time is printed but not
+ * checked. The test at the fleet's full size requires
+ * {@code -Dbanyancove.control.full=true}.
  */
 class ControlCostTests {
 
@@ -49,7 +50,7 @@
 
 	private static final int BUDGET_BYTES_PER_SECOND = 3_000;
 
-	// An Ethernet frame's, IP's and TCP's headers on a message that fills no packet.
+	// The Ethernet, IP and TCP headers of a message that fits into one packet.
 	private static final int HEADER_BYTES = 66;
 
 	private static final double RESTARTS_PER_SECOND_AND_DAEMON = 4_700.0 / 86_400 / 810;
@@ -70,20 +71,21 @@
 
 	@ParameterizedTest
 	@CsvSource({ "3, 3, 11", "1, 31, 12", "1, 62, 0", "1, 62, 6", "1, 62, 12", "2, 62, 12" })
-	void controlStaysInsideItsBudget(int dataCenters, int each, int endpointLoads) throws Exception {
-		measure(dataCenters, each, endpointLoads);
+	void membershipTrafficStaysWithinBudget(int dataCenters, int daemonsPerDataCenter, int endpointLoads)
+			throws Exception {
+		measure(dataCenters, daemonsPerDataCenter, endpointLoads);
 	}
 
 	@Test
 	@EnabledIfSystemProperty(named = "banyancove.control.full", matches = "true")
-	void controlStaysInsideItsBudgetAtTheFullSize() throws Exception {
+	void membershipTrafficStaysWithinBudgetAtFullSize() throws Exception {
 		measure(13, 62, 12);
 	}
 
-	private void measure(int dataCenters, int each, int endpointLoads) throws Exception {
+	private void measure(int dataCenters, int daemonsPerDataCenter, int endpointLoads) throws Exception {
 		this.loads = endpointLoads;
 		for (int dataCenter = 0; dataCenter < dataCenters; dataCenter++) {
-			for (int number = 0; number < each; number++) {
+			for (int number = 0; number < daemonsPerDataCenter; number++) {
 				start(dataCenter, number);
 			}
 		}
--- a/banyancove-transport/src/test/java/org/banyancove/transport/PeerMessageCodecTests.java
+++ b/banyancove-transport/src/test/java/org/banyancove/transport/PeerMessageCodecTests.java
@@ -49,19 +49,19 @@
 
 	@ParameterizedTest
 	@MethodSource("messages")
-	void everyMessageComesBackAsItWas(PeerMessage message) throws Exception {
-		Envelope read = Envelope.parseFrom(PeerMessageCodec.encode(message).toByteArray());
-		assertThat(PeerMessageCodec.decode(read)).isEqualTo(message);
+	void everyMessageSurvivesARoundTrip(PeerMessage message) throws Exception {
+		Envelope decoded = Envelope.parseFrom(PeerMessageCodec.encode(message).toByteArray());
+		assertThat(PeerMessageCodec.decode(decoded)).isEqualTo(message);
 	}
 
 	@Test
-	void everyKindOfMessageIsTried() {
+	void messagesCoverEveryMessageType() {
 		assertThat(messages().map(Object::getClass).distinct())
 			.hasSameSizeAs(PeerMessage.class.getPermittedSubclasses());
 	}
 
 	@Test
-	void anEnvelopeWithoutAMessageIsRefused() {
+	void envelopeWithoutAMessageIsRejected() {
 		Envelope envelope = Envelope.newBuilder()
 			.setFrom(PeerMessageCodec.encode(messages().findFirst().orElseThrow()).getFrom())
 			.build();
--- a/banyancove-transport/src/test/java/org/banyancove/transport/PeerTransportTests.java
+++ b/banyancove-transport/src/test/java/org/banyancove/transport/PeerTransportTests.java
@@ -30,13 +30,13 @@
 
 	private static final Incarnation SELF = new Incarnation(new VmId("vm-1"), 1);
 
-	private static final int FRAME_LIMIT = 1000;
+	private static final int MAXIMUM_FRAME_BYTES = 1000;
 
-	private static final long PATIENCE_SECONDS = 20;
+	private static final long TIMEOUT_SECONDS = 20;
 
-	private static final TransportSettings SETTINGS = new TransportSettings(FRAME_LIMIT, 100, Duration.ofSeconds(1),
-			Duration.ofMillis(50), Duration.ofMillis(400), Duration.ofMinutes(1), Duration.ofMillis(10),
-			Duration.ofMillis(100));
+	private static final TransportSettings SETTINGS = new TransportSettings(MAXIMUM_FRAME_BYTES, 100,
+			Duration.ofSeconds(1), Duration.ofMillis(50), Duration.ofMillis(400), Duration.ofMinutes(1),
+			Duration.ofMillis(10), Duration.ofMillis(100));
 
 	private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
 
@@ -64,26 +64,26 @@
 	}
 
 	/*
-	 * What the operators see: peers stay known to each other though something between
-	 * them forgets connections. The proxy swallows every byte of the first connection
-	 * while it stays open. The keep-alives are not answered, the sender drops the
-	 * connection after the silence timeout, and the next message opens a new one.
+	 * Guards against peers that appear dead because a network device between them has
+	 * lost its state of a connection. The proxy keeps the first connection open and
+	 * discards its bytes, so that keep-alives are not answered. The sender must close the
+	 * connection after the silence timeout and open a new one for the next message.
 	 */
 	@Test
-	void aSilentConnectionIsDroppedAndANewOneMade() throws Exception {
+	void connectionIsReplacedAfterTheSilenceTimeout() throws Exception {
 		String address = listen(0);
-		try (SwallowingProxy proxy = new SwallowingProxy(portOf(address))) {
-			String proxied = "127.0.0.1:" + proxy.port();
-			this.sender.send(proxied, message(1, ""));
-			await(() -> this.sender.counters().silent() == 1);
-			this.sender.send(proxied, message(2, ""));
+		try (BlackHoleProxy proxy = new BlackHoleProxy(portOf(address))) {
+			String proxyAddress = "127.0.0.1:" + proxy.port();
+			this.sender.send(proxyAddress, message(1, ""));
+			await(() -> this.sender.counters().timedOut() == 1);
+			this.sender.send(proxyAddress, message(2, ""));
 			assertThat(next()).isEqualTo(message(2, ""));
 			assertThat(this.sender.counters().connections()).isEqualTo(2);
 		}
 	}
 
 	@Test
-	void anIdleConnectionThatAnswersStaysOpen() throws Exception {
+	void idleConnectionWithKeepAlivesStaysOpen() throws Exception {
 		String address = listen(0);
 		this.sender.send(address, message(1, ""));
 		next();
@@ -92,30 +92,31 @@
 		this.sender.send(address, message(2, ""));
 		next();
 		assertThat(this.sender.counters().connections()).isEqualTo(1);
-		assertThat(this.sender.counters().silent()).isZero();
+		assertThat(this.sender.counters().timedOut()).isZero();
 	}
 
 	@Test
-	void aMessageOverTheFrameLimitIsNotSent() throws Exception {
+	void messageOverTheFrameLimitIsDropped() throws Exception {
 		String address = listen(0);
-		assertThat(this.sender.send(address, message(1, "x".repeat(FRAME_LIMIT)))).isFalse();
+		assertThat(this.sender.send(address, message(1, "x".repeat(MAXIMUM_FRAME_BYTES)))).isFalse();
 		this.sender.send(address, message(2, ""));
 		assertThat(next()).isEqualTo(message(2, ""));
 		assertThat(this.sender.counters().dropped()).isEqualTo(1);
 	}
 
 	/*
-	 * A stranger sends bytes that are no message: a frame length beyond the limit, and a
-	 * frame that does not parse. Its connections are closed, and peers go on.
+	 * Other software sends bytes that are not a message: a frame length beyond the limit,
+	 * a frame that cannot be parsed and an empty frame. Each of its connections must be
+	 * closed, and the connections of peers must stay open.
 	 */
 	@Test
-	void garbageClosesItsConnectionAndNoOther() throws Exception {
+	void malformedBytesCloseOnlyTheirConnection() throws Exception {
 		String address = listen(0);
 		this.sender.send(address, message(1, ""));
 		next();
-		assertThat(endsAfter(address, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII))).isTrue();
-		assertThat(endsAfter(address, new byte[] { 0, 0, 0, 3, -1, -1, -1 })).isTrue();
-		assertThat(endsAfter(address, new byte[] { 0, 0, 0, 0 })).isTrue();
+		assertThat(isClosedAfter(address, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII))).isTrue();
+		assertThat(isClosedAfter(address, new byte[] { 0, 0, 0, 3, -1, -1, -1 })).isTrue();
+		assertThat(isClosedAfter(address, new byte[] { 0, 0, 0, 0 })).isTrue();
 		assertThat(this.receiver.counters().malformed()).isEqualTo(3);
 		this.sender.send(address, message(2, ""));
 		assertThat(next()).isEqualTo(message(2, ""));
@@ -123,11 +124,11 @@
 	}
 
 	/*
-	 * A peer's process ends and another one starts at the same address. What is sent
-	 * meanwhile waits in the bounded queue and arrives after the reconnect.
+	 * A peer's process stops and another one starts at the same address. Messages sent in
+	 * between are queued, and messages must arrive after the reconnect.
 	 */
 	@Test
-	void aRestartedPeerIsReachedAgain() throws Exception {
+	void senderReconnectsToARestartedPeer() throws Exception {
 		String address = listen(0);
 		this.sender.send(address, message(1, ""));
 		next();
@@ -146,20 +147,20 @@
 	}
 
 	@Test
-	void aFullQueueRefusesAtOnce() throws Exception {
+	void messageIsRejectedWhenTheQueueIsFull() throws Exception {
 		int unused = unusedPort();
-		int taken = 0;
+		int accepted = 0;
 		for (int number = 0; number < 300; number++) {
 			if (this.sender.send("127.0.0.1:" + unused, message(number, ""))) {
-				taken++;
+				accepted++;
 			}
 		}
-		assertThat(taken).isEqualTo(SETTINGS.maximumQueued());
+		assertThat(accepted).isEqualTo(SETTINGS.maximumQueued());
 		assertThat(this.sender.counters().dropped()).isEqualTo(200);
 	}
 
 	@Test
-	void aTakenAddressIsAnErrorOfItsKind() {
+	void listeningOnAnAddressInUseFails() {
 		String address = listen(0);
 		assertThatExceptionOfType(BanyancoveException.class)
 			.isThrownBy(
@@ -168,7 +169,7 @@
 	}
 
 	@Test
-	void closeWritesWhatWasQueued() throws Exception {
+	void closeWritesQueuedMessages() throws Exception {
 		String address = listen(0);
 		this.sender.send(address, message(0, ""));
 		next();
@@ -187,14 +188,14 @@
 	}
 
 	private PeerMessage next() throws InterruptedException {
-		PeerMessage message = this.received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+		PeerMessage message = this.received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 		assertThat(message).isNotNull();
 		return message;
 	}
 
-	private static boolean endsAfter(String address, byte[] bytes) throws IOException {
+	private static boolean isClosedAfter(String address, byte[] bytes) throws IOException {
 		try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), portOf(address))) {
-			socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+			socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
 			socket.getOutputStream().write(bytes);
 			return socket.getInputStream().read() < 0;
 		}
@@ -211,8 +212,8 @@
 	}
 
 	private static void await(BooleanSupplier condition) throws InterruptedException {
-		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-		while (!condition.getAsBoolean() && System.nanoTime() < end) {
+		long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+		while (!condition.getAsBoolean() && System.nanoTime() < deadline) {
 			Thread.sleep(5);
 		}
 		assertThat(condition.getAsBoolean()).isTrue();
