--- a/banyancove-platform/src/main/java/org/banyancove/platform/AppendResult.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/AppendResult.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What is known about an append after its call.
+ * The known outcome of an append.
  */
 public sealed interface AppendResult {
 
 	/**
-	 * The records stand in the stream.
+	 * The records were appended to the stream.
 	 *
 	 * @param firstOffset the first record's offset
 	 * @param lastOffset the last record's offset
@@ -18,20 +18,20 @@
 	}
 
 	/**
-	 * The platform said that it did not take the records.
+	 * The platform rejected the records.
 	 *
-	 * @param retryAfter when to come back
-	 * @param reason the answer, for the log
+	 * @param retryAfter the time after which to retry
+	 * @param reason a description of the response, for the log
 	 */
 	record Refused(Duration retryAfter, String reason) implements AppendResult {
 
 	}
 
 	/**
-	 * Nothing is known: the append may have taken effect, or may still do so minutes
-	 * later. Only the stream tells, by the records' identifiers.
+	 * The outcome is unknown: the append may have taken effect, or may still do so
+	 * minutes later. Only reading the stream for the records' identifiers determines it.
 	 *
-	 * @param reason what ended the call, for the log
+	 * @param reason the reason why the call failed, for the log
 	 */
 	record Unanswered(String reason) implements AppendResult {
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/CloudClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/CloudClient.java
@@ -14,8 +14,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's cloud API, through which VMs are bought and given back. Safe for use by
- * any thread.
+ * A client of the platform's cloud API, which starts and stops VMs. Thread-safe.
  */
 public final class CloudClient {
 
@@ -34,53 +33,55 @@
 	}
 
 	/**
-	 * Asks for a VM.
-	 * @param request what is wanted, under its client token
-	 * @return what is known about the VM; never ends exceptionally
+	 * Starts a VM.
+	 * @param request the VM's properties and client token
+	 * @return the known outcome; never completes exceptionally
 	 */
 	public CompletableFuture<StartResult> start(StartRequest request) {
-		String body = PlatformAnswers.write(new StartDocument(request));
+		String body = PlatformResponses.write(new StartDocument(request));
 		return this.connection.send(VMS, "POST", body, Duration.ZERO).handle(CloudClient::result);
 	}
 
 	/**
-	 * Gives a VM back. Giving back one that is gone already succeeds.
+	 * Stops a VM. Stopping a VM that no longer exists succeeds.
 	 * @param vm the VM
-	 * @return ends with a {@link org.banyancove.core.error.BanyancoveException} of kind
-	 * {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * @return completes exceptionally with a
+	 * {@link org.banyancove.core.error.BanyancoveException} of kind
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<Void> stop(VmId vm) {
 		return this.connection.send(VMS + "/" + encode(vm.value()), "DELETE", null, Duration.ZERO)
 			.thenAccept((response) -> {
 				if (response.statusCode() != NOT_FOUND) {
-					PlatformAnswers.expectSuccess(response);
+					PlatformResponses.expectSuccess(response);
 				}
 			})
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	/**
-	 * Lists the VMs that were bought under tokens with a prefix. The list does not lag.
-	 * @param tokenPrefix the prefix
-	 * @return the VMs; ends with a {@link org.banyancove.core.error.BanyancoveException}
-	 * of kind {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * Lists the VMs whose client tokens have a prefix. The list is up to date.
+	 * @param tokenPrefix the prefix of client tokens
+	 * @return the VMs; completes exceptionally with a
+	 * {@link org.banyancove.core.error.BanyancoveException} of kind
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<List<CloudVm>> list(String tokenPrefix) {
 		return this.connection.send(VMS + "?tokenPrefix=" + encode(tokenPrefix), "GET", null, Duration.ZERO)
-			.thenApply((response) -> PlatformAnswers.read(response, VmsDocument.class).read())
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.thenApply((response) -> PlatformResponses.read(response, VmsDocument.class).read())
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	/**
 	 * Reads the prices of all zones and machine classes.
-	 * @return the prices; ends with a
+	 * @return the prices; completes exceptionally with a
 	 * {@link org.banyancove.core.error.BanyancoveException} of kind
-	 * {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<List<VmPrice>> prices() {
 		return this.connection.send("/cloud/prices", "GET", null, Duration.ZERO)
-			.thenApply((response) -> PlatformAnswers.read(response, PricesDocument.class).read())
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.thenApply((response) -> PlatformResponses.read(response, PricesDocument.class).read())
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	private static String encode(String text) {
@@ -91,11 +92,12 @@
 		if (response == null) {
 			return new StartResult.Unanswered(String.valueOf(failure));
 		}
-		if (PlatformAnswers.isRefusal(response) || PlatformAnswers.isClientFault(response)) {
-			return new StartResult.Refused(PlatformAnswers.retryAfter(response), PlatformAnswers.describe(response));
+		if (PlatformResponses.isRejected(response) || PlatformResponses.isClientError(response)) {
+			return new StartResult.Refused(PlatformResponses.retryAfter(response),
+					PlatformResponses.describe(response));
 		}
 		try {
-			return new StartResult.Started(new VmId(PlatformAnswers.read(response, StartedDocument.class).id()));
+			return new StartResult.Started(new VmId(PlatformResponses.read(response, StartedDocument.class).id()));
 		}
 		catch (RuntimeException ex) {
 			return new StartResult.Unanswered(ex.toString());
@@ -130,7 +132,8 @@
 		CloudVm vm() {
 			return new CloudVm(new VmId(this.id), this.clientToken, new ZoneName(this.zone),
 					new MachineClass(this.machineClass), this.reclaimable,
-					VmListClient.constant(VmState.class, this.state, VmState.UNKNOWN), Instant.parse(this.startedAt));
+					VmListClient.parseConstant(VmState.class, this.state, VmState.UNKNOWN),
+					Instant.parse(this.startedAt));
 		}
 
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/CloudVm.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/CloudVm.java
@@ -7,15 +7,15 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * A VM that was bought through the cloud API.
+ * A VM started through the cloud API.
  *
  * @param id the VM
- * @param clientToken the token it was bought under
+ * @param clientToken the client token of its start request
  * @param zone its zone
  * @param machineClass its machine class
- * @param reclaimable whether the platform may take it away at short notice
- * @param state whether it is leaving
- * @param startedAt when it was started
+ * @param reclaimable whether the platform may reclaim it at short notice
+ * @param state its state
+ * @param startedAt the time of its start
  */
 public record CloudVm(VmId id, String clientToken, ZoneName zone, MachineClass machineClass, boolean reclaimable,
 		VmState state, Instant startedAt) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/EngineClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/EngineClient.java
@@ -15,53 +15,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Orders to engines, and reading back what an engine holds. Safe for use by any thread.
+ * Sends orders to engines and reads the state of engines. Thread-safe.
  * <p>
- * Some engines ignore the fencing number, so that an order that was taken tells nothing:
- * only what is read back counts.
+ * Some engines ignore the fencing number, so an accepted order does not prove that it was
+ * carried out. Only the state that is read back counts.
  */
 public final class EngineClient implements AutoCloseable {
 
 	private static final Logger logger = LoggerFactory.getLogger(EngineClient.class);
 
-	private static final String ORDERS = "/v1/orders";
+	private static final String ORDERS_PATH = "/v1/orders";
 
 	private static final int CONFLICT = 409;
 
-	private final ReplacedHttpClient client;
+	private final ReconnectingHttpClient client;
 
 	/**
 	 * Creates a client for all engines. Nothing is sent until its first call.
-	 * @param timeout the longest time a call may take
-	 * @param executor runs the calls' continuations
+	 * @param timeout the timeout of one call
+	 * @param executor runs the continuations of calls
 	 */
 	public EngineClient(Duration timeout, Executor executor) {
-		this.client = new ReplacedHttpClient(timeout, executor);
+		this.client = new ReconnectingHttpClient(timeout, executor);
 	}
 
 	/**
-	 * Orders an engine to a state.
+	 * Sends an order that sets the state of an engine.
 	 * @param address the engine's host and port
 	 * @param fence the fencing number
-	 * @param state the wanted state, whole
-	 * @return what is known; never {@code ReadBack}, and never ends exceptionally
+	 * @param state the complete desired state
+	 * @return the known outcome; never {@code ReadBack}, and never completes
+	 * exceptionally
 	 */
 	public CompletableFuture<OrderResult> order(String address, long fence, EngineState state) {
-		String body = PlatformAnswers.write(OrderDocument.of(fence, state));
-		return this.client.send(uri(address), "POST", body, Duration.ZERO).handle(EngineClient::ordered);
+		String body = PlatformResponses.write(OrderDocument.of(fence, state));
+		return this.client.send(uri(address), "POST", body, Duration.ZERO).handle(EngineClient::orderResult);
 	}
 
 	/**
-	 * Reads an engine's state.
+	 * Reads the state of an engine.
 	 * @param address the engine's host and port
-	 * @return the state, or {@code Unanswered}; never ends exceptionally
+	 * @return the state, or {@code Unanswered}; never completes exceptionally
 	 */
 	public CompletableFuture<OrderResult> readBack(String address) {
-		return this.client.send(uri(address), "GET", null, Duration.ZERO).handle(EngineClient::read);
+		return this.client.send(uri(address), "GET", null, Duration.ZERO).handle(EngineClient::readResult);
 	}
 
 	/**
-	 * Stops without waiting for calls under way.
+	 * Closes the client without waiting for calls in progress.
 	 */
 	@Override
 	public void close() {
@@ -69,31 +70,31 @@
 	}
 
 	private static URI uri(String address) {
-		return URI.create("http://" + address + ORDERS);
+		return URI.create("http://" + address + ORDERS_PATH);
 	}
 
-	private static OrderResult ordered(@Nullable HttpResponse<String> response, @Nullable Throwable failure) {
+	private static OrderResult orderResult(@Nullable HttpResponse<String> response, @Nullable Throwable failure) {
 		if (response == null) {
 			return new OrderResult.Unanswered();
 		}
 		if (response.statusCode() == CONFLICT) {
 			return new OrderResult.Fenced();
 		}
-		if (PlatformAnswers.isRefusal(response)) {
-			return new OrderResult.StoreBusy(PlatformAnswers.retryAfter(response));
+		if (PlatformResponses.isRejected(response)) {
+			return new OrderResult.StoreBusy(PlatformResponses.retryAfter(response));
 		}
 		return new OrderResult.Unanswered();
 	}
 
-	private static OrderResult read(@Nullable HttpResponse<String> response, @Nullable Throwable failure) {
+	private static OrderResult readResult(@Nullable HttpResponse<String> response, @Nullable Throwable failure) {
 		if (response == null) {
 			return new OrderResult.Unanswered();
 		}
 		try {
-			return new OrderResult.ReadBack(PlatformAnswers.read(response, OrderDocument.class).state());
+			return new OrderResult.ReadBack(PlatformResponses.read(response, OrderDocument.class).state());
 		}
 		catch (RuntimeException ex) {
-			logger.warn("An engine's state cannot be read: {}", ex.toString());
+			logger.warn("Failed to read the state of an engine: {}", ex.toString());
 			return new OrderResult.Unanswered();
 		}
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/ListedVm.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/ListedVm.java
@@ -10,17 +10,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A VM on the platform's lagging list.
+ * A VM in the platform's list of VMs.
  *
  * @param id the VM
  * @param dataCenter its data center
  * @param zone its zone
  * @param machineClass its machine class
- * @param role what it runs
+ * @param role the kind of process it runs
  * @param service the service it belongs to, or {@code null} for an entry
- * @param address host and port, or {@code null} while it has none
- * @param state whether it is leaving
- * @param reclaimAt when it is taken away, or {@code null} while that is not announced
+ * @param address its host and port, or {@code null} while it has none
+ * @param state its state
+ * @param reclaimAt the announced time of its reclaim, or {@code null} if none is
+ * announced
  */
 public record ListedVm(VmId id, DataCenterName dataCenter, ZoneName zone, MachineClass machineClass, VmRole role,
 		@Nullable ServiceName service, @Nullable String address, VmState state, @Nullable Instant reclaimAt) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/LogClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/LogClient.java
@@ -11,14 +11,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's append-only log. Safe for use by any thread.
+ * A client of the platform's append-only log. Thread-safe.
  * <p>
- * The JDK's client repeats some requests by itself: a read whose kept connection turns
- * out to be closed, and any request whose connect failed, of which nothing was sent. An
- * append is a {@code POST}, which it does not repeat unless
- * {@code jdk.httpclient.enableAllMethodRetry} is set. Should one be repeated all the
- * same, by whatever stands between, the records keep their identifiers, so that a second
- * copy in the stream is recognisable and readers count it once.
+ * The JDK's client retries some requests by itself: a read on a pooled connection that
+ * turns out to be closed, and any request whose connection could not be opened, so that
+ * nothing was sent. It does not retry an append, which is a {@code POST}, unless
+ * {@code jdk.httpclient.enableAllMethodRetry} is set. If an intermediary repeats an
+ * append nevertheless, the records keep their identifiers, so that readers recognize a
+ * duplicate in the stream and count it once.
  */
 public final class LogClient {
 
@@ -33,33 +33,34 @@
 	}
 
 	/**
-	 * Appends records in one append, all or none.
+	 * Appends records atomically.
 	 * @param stream the stream's name
 	 * @param records the records, in order
-	 * @return what is known about the append; never ends exceptionally
+	 * @return the known outcome of the append; never completes exceptionally
 	 */
 	public CompletableFuture<AppendResult> append(String stream, List<NewRecord> records) {
 		if (records.isEmpty()) {
 			throw new IllegalArgumentException("records must not be empty for stream " + stream);
 		}
-		String body = PlatformAnswers.write(new AppendDocument(records));
+		String body = PlatformResponses.write(new AppendDocument(records));
 		return this.connection.send(path(stream), "POST", body, Duration.ZERO).handle(LogClient::result);
 	}
 
 	/**
 	 * Reads records from a stream.
 	 * @param stream the stream's name
-	 * @param from the first offset wanted
-	 * @param limit the most records wanted
-	 * @param wait how long the platform may wait while there is nothing to read
-	 * @return the page; ends with a {@link org.banyancove.core.error.BanyancoveException}
-	 * of kind {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * @param from the offset of the first record to read
+	 * @param limit the maximum number of records
+	 * @param wait the maximum time that the platform waits for new records
+	 * @return the page; completes exceptionally with a
+	 * {@link org.banyancove.core.error.BanyancoveException} of kind
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<LogPage> read(String stream, long from, int limit, Duration wait) {
 		String query = "?from=" + from + "&limit=" + limit + "&waitMillis=" + wait.toMillis();
 		return this.connection.send(path(stream) + query, "GET", null, wait)
-			.thenApply((response) -> PlatformAnswers.read(response, PageDocument.class).page())
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.thenApply((response) -> PlatformResponses.read(response, PageDocument.class).page())
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	private static String path(String stream) {
@@ -70,18 +71,20 @@
 		if (response == null) {
 			return new AppendResult.Unanswered(String.valueOf(failure));
 		}
-		if (PlatformAnswers.isRefusal(response) || PlatformAnswers.isClientFault(response)) {
-			return new AppendResult.Refused(PlatformAnswers.retryAfter(response), PlatformAnswers.describe(response));
+		if (PlatformResponses.isRejected(response) || PlatformResponses.isClientError(response)) {
+			return new AppendResult.Refused(PlatformResponses.retryAfter(response),
+					PlatformResponses.describe(response));
 		}
-		if (!PlatformAnswers.isSuccess(response)) {
-			return new AppendResult.Unanswered(PlatformAnswers.describe(response));
+		if (!PlatformResponses.isSuccess(response)) {
+			return new AppendResult.Unanswered(PlatformResponses.describe(response));
 		}
 		try {
-			OffsetsDocument offsets = PlatformAnswers.read(response, OffsetsDocument.class);
+			OffsetsDocument offsets = PlatformResponses.read(response, OffsetsDocument.class);
 			return new AppendResult.Appended(offsets.firstOffset(), offsets.lastOffset());
 		}
 		catch (RuntimeException ex) {
-			// A truncated answer: the append took effect, but its offsets are lost.
+			// The response is truncated: the append took effect, but its offsets are
+			// unknown.
 			return new AppendResult.Unanswered(ex.toString());
 		}
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/LogPage.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/LogPage.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Part of a stream, in order of offsets.
+ * A page of a stream, ordered by offset.
  *
- * @param firstRetained the lowest offset that the platform still keeps
- * @param endOffset the offset that the stream's next record will get
- * @param records the records at and after the offset asked for
+ * @param firstRetained the lowest offset that the platform retains
+ * @param endOffset the offset of the next record to be appended to the stream
+ * @param records the records from the requested offset on
  */
 public record LogPage(long firstRetained, long endOffset, List<LogRecord> records) {
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/LogRecord.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/LogRecord.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * A record as it stands in a stream of the log.
+ * A record in a stream of the log.
  *
- * @param offset the place in the stream
- * @param id the identifier that its appender gave it
+ * @param offset the offset in the stream
+ * @param id the identifier assigned by its appender
  * @param data the record's text
  * @param appendedAt the platform's time of the append
  */
--- a/banyancove-platform/src/main/java/org/banyancove/platform/NewRecord.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/NewRecord.java
@@ -3,8 +3,8 @@
 /**
  * A record to append to a stream of the log.
  *
- * @param id the record's own identifier, by which its appender finds it again after a
- * lost answer and readers count it once
+ * @param id the record's identifier, by which its appender finds it after a lost response
+ * and readers detect duplicates
  * @param data the record's text
  */
 public record NewRecord(String id, String data) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/NoticeClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/NoticeClient.java
@@ -8,7 +8,7 @@
 import org.banyancove.core.VmId;
 
 /**
- * The platform's reclaim notices, which do not lag. Safe for use by any thread.
+ * A client of the platform's reclaim notices, which are up to date. Thread-safe.
  */
 public final class NoticeClient {
 
@@ -23,17 +23,17 @@
 	}
 
 	/**
-	 * Reads the notices after a place.
-	 * @param after the sequence of the last notice seen, 0 for none
-	 * @param wait how long the platform may wait while there is none
-	 * @return the notices, in order; ends with a
+	 * Reads the notices after a sequence number.
+	 * @param after the sequence number of the last notice read, 0 for none
+	 * @param wait the maximum time that the platform waits for a new notice
+	 * @return the notices, in order; completes exceptionally with a
 	 * {@link org.banyancove.core.error.BanyancoveException} of kind
-	 * {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<List<ReclaimNotice>> read(long after, Duration wait) {
 		return this.connection.send("/notices?after=" + after + "&waitMillis=" + wait.toMillis(), "GET", null, wait)
-			.thenApply((response) -> PlatformAnswers.read(response, NoticesDocument.class).read())
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.thenApply((response) -> PlatformResponses.read(response, NoticesDocument.class).read())
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	private record NoticesDocument(List<NoticeDocument> notices) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/PlatformAnswers.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/PlatformResponses.java
@@ -13,39 +13,42 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the platform's answers.
+ * Reads the platform's responses.
  */
-final class PlatformAnswers {
+final class PlatformResponses {
 
-	/** The pause after a refusal that names none. */
+	/** The retry delay after a rejection without a {@code Retry-After} header. */
 	static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
 	private static final int TOO_MANY_REQUESTS = 429;
 
-	private static final int UNAVAILABLE = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
 	private static final ObjectMapper mapper = JsonMapper.builder()
 		.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
 		.enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
 		.build();
 
-	private PlatformAnswers() {
+	private PlatformResponses() {
 	}
 
 	static boolean isSuccess(HttpResponse<?> response) {
 		return response.statusCode() / 100 == 2;
 	}
 
-	static boolean isRefusal(HttpResponse<?> response) {
-		return response.statusCode() == TOO_MANY_REQUESTS || response.statusCode() == UNAVAILABLE;
+	static boolean isRejected(HttpResponse<?> response) {
+		return response.statusCode() == TOO_MANY_REQUESTS || response.statusCode() == SERVICE_UNAVAILABLE;
 	}
 
-	static boolean isClientFault(HttpResponse<?> response) {
+	static boolean isClientError(HttpResponse<?> response) {
 		return response.statusCode() / 100 == 4;
 	}
 
 	static Duration retryAfter(HttpResponse<?> response) {
-		return response.headers().firstValue("Retry-After").map(PlatformAnswers::seconds).orElse(DEFAULT_RETRY_AFTER);
+		return response.headers()
+			.firstValue("Retry-After")
+			.map(PlatformResponses::parseSeconds)
+			.orElse(DEFAULT_RETRY_AFTER);
 	}
 
 	static String describe(HttpResponse<String> response) {
@@ -90,12 +93,12 @@
 		return new BanyancoveException(ErrorKind.PLATFORM_UNREACHABLE, message, cause);
 	}
 
-	private static Duration seconds(String value) {
+	private static Duration parseSeconds(String value) {
 		try {
 			return Duration.ofMillis(Math.round(Double.parseDouble(value) * 1000));
 		}
 		catch (NumberFormatException ex) {
-			// The header may also be a date; the pause then is the default.
+			// The header may also contain a date, for which the default applies.
 			return DEFAULT_RETRY_AFTER;
 		}
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/ReclaimNotice.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/ReclaimNotice.java
@@ -5,11 +5,11 @@
 import org.banyancove.core.VmId;
 
 /**
- * The platform's notice that it takes a VM away.
+ * The platform's notice that it will reclaim a VM.
  *
- * @param sequence the notice's place among all notices
+ * @param sequence the notice's sequence number
  * @param vm the VM
- * @param reclaimAt when it is taken away
+ * @param reclaimAt the time of the reclaim
  */
 public record ReclaimNotice(long sequence, VmId vm, Instant reclaimAt) {
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/ReplacedHttpClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/ReconnectingHttpClient.java
@@ -15,21 +15,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends JSON over HTTP and leaves its connections after any failure. Safe for use by any
- * thread.
+ * Sends JSON over HTTP and abandons its connections after any failure. Thread-safe.
  * <p>
- * A connection can go silent for good while new ones work, and the JDK's client keeps its
- * connections in a pool. So after any timeout or I/O error the next call uses a fresh
- * {@link HttpClient}, whose pool is empty: no other connection of the old pool, which may
- * be as silent as the one that failed, is handed out again. Calls that are under way on
- * the old client end there.
+ * A connection can become permanently unresponsive while new connections work, and the
+ * JDK's client pools its connections. After any timeout or I/O error the next call
+ * therefore uses a new {@link HttpClient} with an empty pool, so that no other connection
+ * of the previous pool, which may be unresponsive too, is reused. Calls in progress
+ * complete on the previous client.
  * <p>
- * The whole call is timed, its body included: {@link HttpRequest.Builder#timeout} ends
- * with the headers, and a connection may go silent after them.
+ * The timeout covers the complete call including the response body, because
+ * {@link HttpRequest.Builder#timeout} only covers the time until the headers arrive, and
+ * a connection may become unresponsive after them.
  */
-final class ReplacedHttpClient implements AutoCloseable {
+final class ReconnectingHttpClient implements AutoCloseable {
 
-	private static final Logger logger = LoggerFactory.getLogger(ReplacedHttpClient.class);
+	private static final Logger logger = LoggerFactory.getLogger(ReconnectingHttpClient.class);
 
 	private final Duration timeout;
 
@@ -37,13 +37,13 @@
 
 	private final AtomicReference<HttpClient> client;
 
-	ReplacedHttpClient(Duration timeout, Executor executor) {
+	ReconnectingHttpClient(Duration timeout, Executor executor) {
 		this.timeout = timeout;
 		this.executor = executor;
 		this.client = new AtomicReference<>(newClient());
 	}
 
-	// Stops the present client without waiting for calls under way.
+	// Shuts down the current client without waiting for calls in progress.
 	@Override
 	public void close() {
 		this.client.get().shutdownNow();
@@ -51,11 +51,11 @@
 
 	/**
 	 * Sends a request.
-	 * @param uri where
+	 * @param uri the target
 	 * @param method the HTTP method
 	 * @param body the JSON body, or {@code null} for none
-	 * @param wait how long the server may wait by itself before it answers
-	 * @return the response; ends with the I/O error or timeout otherwise
+	 * @param wait the maximum time that the server waits before it responds
+	 * @return the response; completes exceptionally with the I/O error or timeout
 	 */
 	CompletableFuture<HttpResponse<String>> send(URI uri, String method, @Nullable String body, Duration wait) {
 		HttpRequest.BodyPublisher publisher = (body != null) ? HttpRequest.BodyPublishers.ofString(body)
@@ -64,26 +64,26 @@
 			.header("Content-Type", "application/json")
 			.method(method, publisher)
 			.build();
-		HttpClient used = this.client.get();
-		CompletableFuture<HttpResponse<String>> exchange = used.sendAsync(request,
+		HttpClient current = this.client.get();
+		CompletableFuture<HttpResponse<String>> exchange = current.sendAsync(request,
 				HttpResponse.BodyHandlers.ofString());
-		long millis = wait.plus(this.timeout).toMillis();
-		return exchange.copy().orTimeout(millis, TimeUnit.MILLISECONDS).whenComplete((response, failure) -> {
+		long timeoutMillis = wait.plus(this.timeout).toMillis();
+		return exchange.copy().orTimeout(timeoutMillis, TimeUnit.MILLISECONDS).whenComplete((response, failure) -> {
 			if (failure != null) {
 				exchange.cancel(true);
-				replace(used, uri, failure);
+				replace(current, uri, failure);
 			}
 		});
 	}
 
 	private void replace(HttpClient failed, URI uri, Throwable failure) {
-		HttpClient fresh = newClient();
-		if (this.client.compareAndSet(failed, fresh)) {
-			logger.warn("Call {} failed, its connections are left: {}", uri, failure.toString());
+		HttpClient replacement = newClient();
+		if (this.client.compareAndSet(failed, replacement)) {
+			logger.warn("Call to {} failed; replacing its HTTP client: {}", uri, failure.toString());
 			failed.shutdown();
 		}
 		else {
-			fresh.shutdownNow();
+			replacement.shutdownNow();
 		}
 	}
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/StartRequest.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/StartRequest.java
@@ -6,15 +6,15 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * Asks the cloud API for one VM.
+ * A request to the cloud API to start one VM.
  *
- * @param clientToken names this purchase: the same token gives the same VM, so that a
- * repeat after a lost answer buys nothing twice
- * @param dataCenter where
- * @param zone the zone in it
+ * @param clientToken the idempotency token: a retry with the same token returns the same
+ * VM, so that a retry after a lost response starts no second VM
+ * @param dataCenter the data center
+ * @param zone the zone of the data center
  * @param machineClass the machine class
- * @param reclaimable whether the platform may take the VM away at short notice
- * @param service the service it is for
+ * @param reclaimable whether the platform may reclaim the VM at short notice
+ * @param service the service that the VM runs
  */
 public record StartRequest(String clientToken, DataCenterName dataCenter, ZoneName zone, MachineClass machineClass,
 		boolean reclaimable, ServiceName service) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/StartResult.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/StartResult.java
@@ -5,12 +5,12 @@
 import org.banyancove.core.VmId;
 
 /**
- * What is known about a VM that was asked for.
+ * The known outcome of a request to start a VM.
  */
 public sealed interface StartResult {
 
 	/**
-	 * The platform starts the VM.
+	 * The platform accepted the request.
 	 *
 	 * @param vm the VM
 	 */
@@ -19,20 +19,20 @@
 	}
 
 	/**
-	 * The platform refused the start.
+	 * The platform rejected the request.
 	 *
-	 * @param retryAfter when to come back
-	 * @param reason the answer, for the log
+	 * @param retryAfter the time after which to retry
+	 * @param reason a description of the response, for the log
 	 */
 	record Refused(Duration retryAfter, String reason) implements StartResult {
 
 	}
 
 	/**
-	 * Nothing is known; the VM may have been bought. The list by token tells, and a
-	 * repeat under the same token is safe.
+	 * The outcome is unknown; the VM may have been started. Listing VMs by token
+	 * determines it, and a retry with the same token is safe.
 	 *
-	 * @param reason what ended the call, for the log
+	 * @param reason the reason why the call failed, for the log
 	 */
 	record Unanswered(String reason) implements StartResult {
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/StreamReader.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/StreamReader.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows one stream of the log: reads page after page, waiting at the log while there is
- * nothing new, and pausing while the log does not answer.
+ * Reads one stream of the log page by page, with long polling for new records and a delay
+ * after a failed read.
  */
 public final class StreamReader {
 
 	private static final Logger logger = LoggerFactory.getLogger(StreamReader.class);
 
-	private static final int PAGE = 1000;
+	private static final int PAGE_LIMIT = 1000;
 
-	private static final Duration PAUSE = Duration.ofMillis(250);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
 	private final LogClient log;
 
@@ -33,7 +33,7 @@
 
 	private final Consumer<Throwable> failures;
 
-	private long next;
+	private long nextOffset;
 
 	private volatile boolean stopped;
 
@@ -41,10 +41,10 @@
 	 * Creates the reader.
 	 * @param log the log
 	 * @param stream the stream's name
-	 * @param wait how long a read may wait at the log
-	 * @param timer times pauses; the reader ends with it
-	 * @param pages takes each page, in order, on one thread at a time
-	 * @param failures told of each read without an answer
+	 * @param wait the maximum time that a read waits at the log for new records
+	 * @param timer schedules retries; the reader stops when it is shut down
+	 * @param pages receives each page, in order, on one thread at a time
+	 * @param failures receives the failure of each failed read
 	 */
 	public StreamReader(LogClient log, String stream, Duration wait, ScheduledExecutorService timer,
 			Consumer<LogPage> pages, Consumer<Throwable> failures) {
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Starts to read at the first offset that the log keeps.
+	 * Starts to read at the first offset that the log retains.
 	 */
 	public void start() {
 		start(0);
@@ -65,16 +65,16 @@
 
 	/**
 	 * Starts to read.
-	 * @param fromOffset the offset to begin at; records that the log has trimmed are
-	 * passed over
+	 * @param fromOffset the offset of the first record to read; records that the log has
+	 * trimmed are skipped
 	 */
 	public void start(long fromOffset) {
-		this.next = fromOffset;
+		this.nextOffset = fromOffset;
 		readNext();
 	}
 
 	/**
-	 * Stops to read. A page that is on its way is still taken.
+	 * Stops reading. The page of a read in progress is still delivered.
 	 */
 	public void stop() {
 		this.stopped = true;
@@ -84,22 +84,22 @@
 		if (this.stopped) {
 			return;
 		}
-		CompletableFuture<LogPage> page = this.log.read(this.stream, this.next, PAGE, this.wait);
-		page.whenComplete(this::answered);
+		CompletableFuture<LogPage> page = this.log.read(this.stream, this.nextOffset, PAGE_LIMIT, this.wait);
+		page.whenComplete(this::onResponse);
 	}
 
-	private void answered(LogPage page, Throwable failure) {
+	private void onResponse(LogPage page, Throwable failure) {
 		if (this.timer.isShutdown()) {
 			return;
 		}
 		if (failure != null) {
-			logger.debug("Stream {} cannot be read", this.stream, failure);
+			logger.debug("Failed to read stream {}", this.stream, failure);
 			this.failures.accept(failure);
-			this.timer.schedule(this::readNext, PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+			this.timer.schedule(this::readNext, RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
 			return;
 		}
 		this.pages.accept(page);
-		this.next = page.records().isEmpty() ? Math.max(this.next, page.firstRetained())
+		this.nextOffset = page.records().isEmpty() ? Math.max(this.nextOffset, page.firstRetained())
 				: page.records().getLast().offset() + 1;
 		readNext();
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/VmList.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/VmList.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The platform's list of VMs, which lags behind the truth.
+ * The platform's list of VMs, which lags behind their actual state.
  *
- * @param asOf the time the list stands for
+ * @param asOf the time at which the list was current
  * @param vms the VMs
  */
 public record VmList(Instant asOf, List<ListedVm> vms) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/VmListClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/VmListClient.java
@@ -14,7 +14,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's lagging list of VMs. Safe for use by any thread.
+ * A client of the platform's list of VMs, which lags behind their actual state.
+ * Thread-safe.
  */
 public final class VmListClient {
 
@@ -30,30 +31,31 @@
 
 	/**
 	 * Reads the list.
-	 * @return the list; ends with a {@link org.banyancove.core.error.BanyancoveException}
-	 * of kind {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * @return the list; completes exceptionally with a
+	 * {@link org.banyancove.core.error.BanyancoveException} of kind
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<VmList> read() {
 		return this.connection.send("/vms", "GET", null, Duration.ZERO)
-			.thenApply((response) -> PlatformAnswers.read(response, ListDocument.class).list())
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.thenApply((response) -> PlatformResponses.read(response, ListDocument.class).list())
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	/**
-	 * Reads the name of an enum constant that the platform writes in lower case.
-	 * @param <E> the enum
-	 * @param type the enum
+	 * Returns the enum constant for a lower-case name of the platform.
+	 * @param <E> the enum type
+	 * @param type the enum type
 	 * @param name the name
-	 * @param otherwise the constant for a name that this version does not know
+	 * @param defaultConstant the constant for a name that this version does not support
 	 * @return the constant
 	 */
-	static <E extends Enum<E>> E constant(Class<E> type, @Nullable String name, E otherwise) {
+	static <E extends Enum<E>> E parseConstant(Class<E> type, @Nullable String name, E defaultConstant) {
 		for (E constant : type.getEnumConstants()) {
 			if (constant.name().toLowerCase(Locale.ROOT).equals(name)) {
 				return constant;
 			}
 		}
-		return otherwise;
+		return defaultConstant;
 	}
 
 	private record ListDocument(String asOf, List<VmDocument> vms) {
@@ -69,9 +71,9 @@
 
 		ListedVm vm() {
 			return new ListedVm(new VmId(this.id), new DataCenterName(this.dataCenter), new ZoneName(this.zone),
-					new MachineClass(this.machineClass), constant(VmRole.class, this.role, VmRole.UNKNOWN),
+					new MachineClass(this.machineClass), parseConstant(VmRole.class, this.role, VmRole.UNKNOWN),
 					(this.service != null) ? new ServiceName(this.service) : null, this.address,
-					constant(VmState.class, this.state, VmState.UNKNOWN),
+					parseConstant(VmState.class, this.state, VmState.UNKNOWN),
 					(this.reclaimAt != null) ? Instant.parse(this.reclaimAt) : null);
 		}
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/VmPrice.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/VmPrice.java
@@ -4,12 +4,12 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * What a VM costs.
+ * The price of a VM.
  *
  * @param zone the zone
  * @param machineClass the machine class
- * @param reclaimable whether this is the price of a reclaimable VM
- * @param perHour the price of an hour, in the platform's currency
+ * @param reclaimable whether the price applies to reclaimable VMs
+ * @param perHour the price per hour, in the platform's currency
  */
 public record VmPrice(ZoneName zone, MachineClass machineClass, boolean reclaimable, double perHour) {
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/VmRole.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/VmRole.java
@@ -1,7 +1,7 @@
 package org.banyancove.platform;
 
 /**
- * What a VM runs, as the platform's list says.
+ * The kind of process that a VM runs, from the platform's list.
  */
 public enum VmRole {
 
@@ -14,7 +14,7 @@
 	/** A plain service. */
 	SERVICE,
 
-	/** Something this version does not know. */
+	/** A role that this version does not support. */
 	UNKNOWN
 
 }
--- a/banyancove-platform/src/main/java/org/banyancove/platform/VmState.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/VmState.java
@@ -1,17 +1,17 @@
 package org.banyancove.platform;
 
 /**
- * The state of a VM, as the platform says.
+ * The state of a VM, as reported by the platform.
  */
 public enum VmState {
 
-	/** The VM runs. */
+	/** The VM is running. */
 	LIVE,
 
 	/** The VM is being reclaimed or stopped. */
 	LEAVING,
 
-	/** A state this version does not know. */
+	/** A state that this version does not support. */
 	UNKNOWN
 
 }
--- a/banyancove-platform/src/main/java/org/banyancove/platform/WeightResult.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/WeightResult.java
@@ -3,23 +3,23 @@
 import java.time.Duration;
 
 /**
- * The weight store's answer to a fetch.
+ * The result of fetching weights from the weight store.
  */
 public sealed interface WeightResult {
 
 	/**
-	 * The store gave the weights.
+	 * The store returned the weights.
 	 *
-	 * @param bytes their size
+	 * @param bytes the size of the weights in bytes
 	 */
 	record Fetched(long bytes) implements WeightResult {
 
 	}
 
 	/**
-	 * The store is over its rate.
+	 * The store rejected the fetch because of its rate limit.
 	 *
-	 * @param retryAfter when to come back
+	 * @param retryAfter the time after which to retry
 	 */
 	record Refused(Duration retryAfter) implements WeightResult {
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/WeightStoreClient.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/WeightStoreClient.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's weight store, which limits its rate. Safe for use by any thread.
+ * A client of the platform's rate-limited weight store. Thread-safe.
  */
 public final class WeightStoreClient {
 
@@ -24,22 +24,22 @@
 	/**
 	 * Fetches a model's weights.
 	 * @param model the model's name
-	 * @return the size, or when to come back; ends with a
+	 * @return the size, or the time after which to retry; completes exceptionally with a
 	 * {@link org.banyancove.core.error.BanyancoveException} of kind
-	 * {@code PLATFORM_UNREACHABLE} where there is no answer
+	 * {@code PLATFORM_UNREACHABLE} if there is no response
 	 */
 	public CompletableFuture<WeightResult> fetch(String model) {
 		String path = "/weights/" + URLEncoder.encode(model, StandardCharsets.UTF_8);
 		return this.connection.send(path, "GET", null, Duration.ZERO)
 			.thenApply(WeightStoreClient::result)
-			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformAnswers.unreachable(failure)));
+			.exceptionallyCompose((failure) -> CompletableFuture.failedFuture(PlatformResponses.unreachable(failure)));
 	}
 
 	private static WeightResult result(HttpResponse<String> response) {
-		if (PlatformAnswers.isRefusal(response)) {
-			return new WeightResult.Refused(PlatformAnswers.retryAfter(response));
+		if (PlatformResponses.isRejected(response)) {
+			return new WeightResult.Refused(PlatformResponses.retryAfter(response));
 		}
-		return new WeightResult.Fetched(PlatformAnswers.read(response, SizeDocument.class).bytes());
+		return new WeightResult.Fetched(PlatformResponses.read(response, SizeDocument.class).bytes());
 	}
 
 	private record SizeDocument(long bytes) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/json/RecordMapper.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/json/RecordMapper.java
@@ -11,8 +11,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * Writes the records of a sealed hierarchy as JSON text and reads them back; safe for use
- * by many threads.
+ * Converts the records of a sealed hierarchy to and from JSON text. Thread-safe.
  *
  * @param <T> the root of the hierarchy
  */
@@ -43,29 +42,29 @@
 	/**
 	 * Writes a record.
 	 * @param record the record
-	 * @return its JSON, in one line
+	 * @return the JSON text, in one line
 	 */
 	public String write(T record) {
 		try {
 			return this.writer.writeValueAsString(record);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("Cannot be written: " + record, ex);
+			throw new IllegalArgumentException("Cannot write record as JSON: " + record, ex);
 		}
 	}
 
 	/**
 	 * Reads a record.
-	 * @param text its JSON
+	 * @param text the JSON text
 	 * @return the record
-	 * @throws UnreadableRecordException if the text is no record of a known kind
+	 * @throws UnreadableRecordException if the text is not a record of a known kind
 	 */
 	public T read(String text) {
 		try {
 			return this.reader.readValue(text);
 		}
 		catch (JsonProcessingException ex) {
-			throw new UnreadableRecordException("No record of a known kind", ex);
+			throw new UnreadableRecordException("Text is not a record of a known kind", ex);
 		}
 	}
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/json/RecordModule.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/json/RecordModule.java
@@ -28,7 +28,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes identifiers, times and bodies as text.
+ * Converts identifiers, times and bodies to and from text.
  */
 final class RecordModule extends SimpleModule {
 
@@ -36,10 +36,10 @@
 
 	RecordModule() {
 		super("banyancove-records");
-		text(Duration.class, Duration::toString, Duration::parse);
-		text(Instant.class, Instant::toString, Instant::parse);
-		text(Incarnation.class, Incarnation::toString, Incarnation::parse);
-		text(Body.class, (body) -> encode(body.toByteArray()), (text) -> Body.copyOf(decode(text)));
+		addTextType(Duration.class, Duration::toString, Duration::parse);
+		addTextType(Instant.class, Instant::toString, Instant::parse);
+		addTextType(Incarnation.class, Incarnation::toString, Incarnation::parse);
+		addTextType(Body.class, (body) -> encode(body.toByteArray()), (text) -> Body.copyOf(decode(text)));
 	}
 
 	@Override
@@ -49,7 +49,7 @@
 		context.addDeserializers(new IdentifierDeserializers());
 	}
 
-	private <T> void text(Class<T> type, Function<T, String> writer, Function<String, T> reader) {
+	private <T> void addTextType(Class<T> type, Function<T, String> writer, Function<String, T> reader) {
 		addSerializer(type, new TextSerializer<>(type, writer));
 		addDeserializer(type, new TextDeserializer<>(type, reader));
 	}
@@ -62,8 +62,8 @@
 		return Base64.getDecoder().decode(text);
 	}
 
-	// An identifier is a record of one text that is no member of a sealed hierarchy: such
-	// a member needs its kind beside the text.
+	// An identifier is a record with one String component that does not belong to a
+	// sealed hierarchy, whose members are written with their kind in addition.
 	private static boolean isIdentifier(Class<?> type) {
 		if (!type.isRecord() || Arrays.stream(type.getInterfaces()).anyMatch(Class::isSealed)) {
 			return false;
@@ -72,7 +72,7 @@
 		return components.length == 1 && components[0].getType() == String.class;
 	}
 
-	private static Object identifier(Class<?> type, String text) {
+	private static Object newIdentifier(Class<?> type, String text) {
 		try {
 			return type.getDeclaredConstructor(String.class).newInstance(text);
 		}
@@ -81,7 +81,7 @@
 		}
 	}
 
-	private static String text(Object identifier) {
+	private static String textOf(Object identifier) {
 		try {
 			return (String) identifier.getClass().getRecordComponents()[0].getAccessor().invoke(identifier);
 		}
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * Finds how identifiers are written.
+	 * Provides the serializers of identifiers.
 	 */
 	private static final class IdentifierSerializers extends Serializers.Base {
 
@@ -99,13 +99,13 @@
 		public @Nullable JsonSerializer<?> findSerializer(SerializationConfig config, JavaType type,
 				BeanDescription description) {
 			Class<?> raw = type.getRawClass();
-			return isIdentifier(raw) ? new TextSerializer<>(Object.class, RecordModule::text) : null;
+			return isIdentifier(raw) ? new TextSerializer<>(Object.class, RecordModule::textOf) : null;
 		}
 
 	}
 
 	/**
-	 * Finds how identifiers are read.
+	 * Provides the deserializers of identifiers.
 	 */
 	private static final class IdentifierDeserializers extends Deserializers.Base {
 
@@ -113,7 +113,7 @@
 		public @Nullable JsonDeserializer<?> findBeanDeserializer(JavaType type, DeserializationConfig config,
 				BeanDescription description) {
 			Class<?> raw = type.getRawClass();
-			return isIdentifier(raw) ? new TextDeserializer<>(raw, (text) -> raw.cast(identifier(raw, text))) : null;
+			return isIdentifier(raw) ? new TextDeserializer<>(raw, (text) -> raw.cast(newIdentifier(raw, text))) : null;
 		}
 
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/json/SealedTypeIntrospector.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/json/SealedTypeIntrospector.java
@@ -15,14 +15,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Tells the types of a sealed hierarchy apart by a field {@code kind}, so that the core's
- * types need no annotations.
+ * Distinguishes the types of a sealed hierarchy by a property {@code kind}, so that the
+ * core's types need no annotations.
  */
 final class SealedTypeIntrospector extends JacksonAnnotationIntrospector {
 
 	private static final long serialVersionUID = 1L;
 
-	private static final String KIND = "kind";
+	private static final String KIND_PROPERTY = "kind";
 
 	@Override
 	public @Nullable TypeResolverBuilder<?> findTypeResolver(MapperConfig<?> config, AnnotatedClass annotated,
@@ -32,7 +32,7 @@
 		}
 		return new StdTypeResolverBuilder().init(JsonTypeInfo.Id.NAME, null)
 			.inclusion(JsonTypeInfo.As.PROPERTY)
-			.typeProperty(KIND);
+			.typeProperty(KIND_PROPERTY);
 	}
 
 	@Override
@@ -42,14 +42,14 @@
 			return super.findSubtypes(annotated);
 		}
 		List<NamedType> subtypes = new ArrayList<>();
-		collect(type, subtypes);
+		collectSubtypes(type, subtypes);
 		return subtypes;
 	}
 
-	private static void collect(Class<?> type, List<NamedType> subtypes) {
+	private static void collectSubtypes(Class<?> type, List<NamedType> subtypes) {
 		for (Class<?> permitted : type.getPermittedSubclasses()) {
 			if (permitted.isSealed()) {
-				collect(permitted, subtypes);
+				collectSubtypes(permitted, subtypes);
 			}
 			else {
 				subtypes.add(new NamedType(permitted, permitted.getSimpleName()));
--- a/banyancove-platform/src/main/java/org/banyancove/platform/json/UnreadableRecordException.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/json/UnreadableRecordException.java
@@ -4,14 +4,14 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Thrown where a text is no record of a known kind, such as one that a later version
- * wrote.
+ * Thrown if a text is not a record of a known kind, for example because a later version
+ * wrote it.
  */
 public class UnreadableRecordException extends BanyancoveException {
 
 	/**
 	 * Creates the exception.
-	 * @param message what is wrong
+	 * @param message the detail message
 	 * @param cause the cause
 	 */
 	public UnreadableRecordException(String message, Throwable cause) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/json/package-info.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/json/package-info.java
@@ -1,5 +1,6 @@
 /**
- * JSON of the core's records, the same for records on the log and for recorded traces.
+ * The JSON format of the core's records, shared by records on the log and recorded
+ * traces.
  */
 @NullMarked
 package org.banyancove.platform.json;
--- a/banyancove-platform/src/main/java/org/banyancove/platform/lease/LeaseRecordCodec.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/lease/LeaseRecordCodec.java
@@ -9,10 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The JSON form of the stream of leases. Immutable and safe for use by any thread.
+ * Converts records of the leases stream to and from JSON. Immutable and thread-safe.
  * <p>
- * A record of a kind that this version does not know, or one that is not whole, changes
- * nothing: a newer version's record must not stop older planners.
+ * A record of a kind that this version does not support, or an incomplete record, has no
+ * effect, so that a record of a newer version does not stop older planners.
  */
 public final class LeaseRecordCodec {
 
@@ -21,7 +21,7 @@
 	private final RecordMapper<LeaseRecord> mapper = new RecordMapper<>(LeaseRecord.class);
 
 	/**
-	 * Writes a record for the log, under its own identifier.
+	 * Encodes a record for the log, with its own identifier.
 	 * @param record the record
 	 * @return the record to append
 	 */
@@ -30,16 +30,17 @@
 	}
 
 	/**
-	 * Reads a record.
-	 * @param text its JSON
-	 * @return the record, or {@code null} where it is of no known kind or not whole
+	 * Decodes a record.
+	 * @param text the JSON text
+	 * @return the record, or {@code null} if its kind is not supported or it is
+	 * incomplete
 	 */
 	public @Nullable LeaseRecord decode(String text) {
 		try {
 			return this.mapper.read(text);
 		}
 		catch (UnreadableRecordException ex) {
-			logger.warn("A record of leases cannot be read and is passed over: {}", ex.toString());
+			logger.warn("Skipping an unreadable record of the leases stream: {}", ex.toString());
 			return null;
 		}
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/lease/LeaseStream.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/lease/LeaseStream.java
@@ -16,13 +16,13 @@
 import org.banyancove.platform.StreamReader;
 
 /**
- * The stream of leases on the platform's log. Safe for use by any thread.
+ * A client of the leases stream on the platform's log. Thread-safe.
  */
 public final class LeaseStream {
 
-	private static final Duration PAUSE = Duration.ofMillis(250);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-	private static final long FIRST_STEP = 1000;
+	private static final long INITIAL_STEP_RECORDS = 1000;
 
 	private final LogClient log;
 
@@ -37,56 +37,57 @@
 	}
 
 	/**
-	 * Appends a record. Who holds the lease is seen by reading the stream.
+	 * Appends a record. Reading the stream determines which planner holds the lease.
 	 * @param record the record
-	 * @return what is known about the append; never ends exceptionally
+	 * @return the known outcome of the append; never completes exceptionally
 	 */
 	public CompletableFuture<AppendResult> append(LeaseRecord record) {
 		return this.log.append(LeaseRecord.STREAM_NAME, List.of(this.codec.newRecord(record)));
 	}
 
 	/**
-	 * Follows the stream. Where the log keeps more, it begins {@link LeaseRecord#LONGEST}
-	 * before the newest record: each lease that stood then has a record since, and a
-	 * planner that starts reads some thousand records instead of a week's million.
-	 * @param wait how long a read may wait at the log
-	 * @param timer times pauses; the reading ends with it
-	 * @param records takes the records of each page, in order, on one thread at a time; a
-	 * page may have none
+	 * Reads the stream continuously. If the log retains more, reading starts
+	 * {@link LeaseRecord#LONGEST} before the newest record: each lease that was valid at
+	 * that time has a later record, and a starting planner reads some thousand records
+	 * instead of a million of a week.
+	 * @param wait the maximum time that a read waits at the log for new records
+	 * @param timer schedules retries; reading stops when it is shut down
+	 * @param records receives the records of each page, in order, on one thread at a
+	 * time; a page may be empty
 	 */
 	public void follow(Duration wait, ScheduledExecutorService timer, Consumer<List<ReadLeaseRecord>> records) {
 		StreamReader reader = new StreamReader(this.log, LeaseRecord.STREAM_NAME, wait, timer,
 				(page) -> records.accept(decode(page)), (failure) -> {
 				});
-		findStart().whenComplete((from, failure) -> {
+		findStartOffset().whenComplete((from, failure) -> {
 			if (failure == null) {
 				reader.start(from);
 			}
 			else if (!timer.isShutdown()) {
-				timer.schedule(() -> follow(wait, timer, records), PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+				timer.schedule(() -> follow(wait, timer, records), RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
 			}
 		});
 	}
 
-	private CompletableFuture<Long> findStart() {
+	private CompletableFuture<Long> findStartOffset() {
 		return read(0).thenCompose((first) -> {
-			if (first.endOffset() - first.firstRetained() <= FIRST_STEP) {
+			if (first.endOffset() - first.firstRetained() <= INITIAL_STEP_RECORDS) {
 				return CompletableFuture.completedFuture(first.firstRetained());
 			}
 			return read(first.endOffset() - 1).thenCompose((newest) -> {
-				Instant enough = newest.records().getLast().appendedAt().minus(LeaseRecord.LONGEST);
-				return stepBack(first.endOffset(), FIRST_STEP, enough);
+				Instant startTime = newest.records().getLast().appendedAt().minus(LeaseRecord.LONGEST);
+				return searchBackwards(first.endOffset(), INITIAL_STEP_RECORDS, startTime);
 			});
 		});
 	}
 
-	private CompletableFuture<Long> stepBack(long end, long step, Instant enough) {
+	private CompletableFuture<Long> searchBackwards(long end, long step, Instant startTime) {
 		return read(Math.max(0, end - step)).thenCompose((page) -> {
 			LogRecord oldest = page.records().getFirst();
-			if (oldest.offset() == page.firstRetained() || oldest.appendedAt().isBefore(enough)) {
+			if (oldest.offset() == page.firstRetained() || oldest.appendedAt().isBefore(startTime)) {
 				return CompletableFuture.completedFuture(oldest.offset());
 			}
-			return stepBack(end, 2 * step, enough);
+			return searchBackwards(end, 2 * step, startTime);
 		});
 	}
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/lease/ReadLeaseRecord.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/lease/ReadLeaseRecord.java
@@ -5,9 +5,10 @@
 import org.banyancove.core.planner.LeaseRecord;
 
 /**
- * A record as it was read from the stream of leases.
+ * A record that was read from the leases stream.
  *
- * @param offset its offset, the fencing number of the lease that it may win
+ * @param offset the record's offset, which is the fencing number of a lease that it may
+ * acquire
  * @param record the record
  * @param appendedAt the log's time of the append
  */
--- a/banyancove-platform/src/main/java/org/banyancove/platform/lease/package-info.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/lease/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The stream of planners' leases on the platform's log.
+ * The stream of planner leases on the platform's log.
  */
 @NullMarked
 package org.banyancove.platform.lease;
--- a/banyancove-platform/src/main/java/org/banyancove/platform/ledger/LedgerRecordCodec.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/ledger/LedgerRecordCodec.java
@@ -26,12 +26,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes {@link LedgerRecord}s as JSON text and reads them back. The record's identifier
- * is not part of the text: the log keeps it beside.
+ * Converts {@link LedgerRecord}s to and from JSON text. The text does not contain the
+ * record's identifier, which the log stores separately.
  * <p>
- * Reading never fails: text of an unknown kind, or that is broken, is the same
+ * Decoding never fails: text of an unsupported kind or malformed text gives the same
  * {@link LedgerRecord.Unrecognized} in every process of this version, so that their folds
- * agree. Fields that are not known are passed over. Safe for use by several threads.
+ * agree. Unknown fields are ignored. Thread-safe.
  */
 public final class LedgerRecordCodec {
 
@@ -47,8 +47,9 @@
 
 	private static final String CHECKPOINT = "checkpoint";
 
-	// A reader that does not know digests must not take a checkpoint that holds some for
-	// the whole state: it would take those keys for free and run their calls again.
+	// A kind of its own, because a reader that does not support digests must not treat
+	// such a checkpoint as the complete state: it would consider the keys of the digests
+	// unused and run their calls again.
 	private static final String CHECKPOINT_WITH_DIGESTS = "checkpoint-with-digests";
 
 	private static final String AUTHOR = "author";
@@ -102,7 +103,7 @@
 	private final JsonMapper mapper = JsonMapper.builder().build();
 
 	/**
-	 * Writes a record as text, without its identifier.
+	 * Encodes a record as text, without its identifier.
 	 * @param record the record
 	 * @return the JSON text
 	 * @throws IllegalArgumentException if the record is {@link LedgerRecord.Unrecognized}
@@ -120,10 +121,10 @@
 	}
 
 	/**
-	 * Reads a record.
-	 * @param id the identifier that the log keeps with the text
-	 * @param text the text
-	 * @return the record, {@link LedgerRecord.Unrecognized} if this version cannot read
+	 * Decodes a record.
+	 * @param id the identifier that the log stores with the text
+	 * @param text the JSON text
+	 * @return the record; {@link LedgerRecord.Unrecognized} if this version cannot read
 	 * it
 	 */
 	public LedgerRecord decode(RecordId id, String text) {
@@ -161,8 +162,8 @@
 	}
 
 	private void write(ObjectNode node, LedgerRecord.Checkpoint checkpoint) {
-		boolean whole = checkpoint.ended().size() == 0;
-		node.put(KIND, whole ? CHECKPOINT : CHECKPOINT_WITH_DIGESTS);
+		boolean withoutDigests = checkpoint.ended().size() == 0;
+		node.put(KIND, withoutDigests ? CHECKPOINT : CHECKPOINT_WITH_DIGESTS);
 		node.put(CHECKPOINT, checkpoint.checkpoint().value());
 		node.put(THROUGH, checkpoint.through());
 		node.put(LOG_TIME, checkpoint.logTime().toString());
@@ -170,7 +171,7 @@
 		node.put(PARTS, checkpoint.parts());
 		ArrayNode states = node.putArray(STATES);
 		checkpoint.states().forEach((state) -> write(states.addObject(), state));
-		if (!whole) {
+		if (!withoutDigests) {
 			node.put(DIGESTS, Base64.getEncoder().encodeToString(checkpoint.ended().toBytes()));
 		}
 	}
@@ -238,8 +239,8 @@
 				flag(node, ENDED) ? endedAt(node) : null, answer(node));
 	}
 
-	// Versions that kept answers as long as keys wrote no time: the intent's stands for
-	// it, so that the answer becomes old sooner, never later.
+	// Versions that retained answers as long as keys wrote no end time. The time of the
+	// intent is used instead, so that the answer expires sooner, never later.
 	private Instant endedAt(JsonNode node) {
 		return Instant.parse(text(node, node.has(ENDED_AT) ? ENDED_AT : INTENT_AT));
 	}
@@ -291,8 +292,8 @@
 		return value;
 	}
 
-	private void check(boolean holds, String field, JsonNode value) {
-		if (!holds) {
+	private void check(boolean valid, String field, JsonNode value) {
+		if (!valid) {
 			throw new IllegalArgumentException("field '" + field + "' has the wrong type: " + value);
 		}
 	}
--- a/banyancove-platform/src/main/java/org/banyancove/platform/ledger/package-info.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/ledger/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The key ledger's records as text on the platform's log.
+ * The text format of the key ledger's records on the platform's log.
  */
 @NullMarked
 package org.banyancove.platform.ledger;
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/Document.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/Document.java
@@ -3,16 +3,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A JSON form that gives what it stands for.
+ * A JSON document that represents a value.
  *
- * @param <T> the type that it stands for
+ * @param <T> the type of the value
  */
 interface Document<T> {
 
 	/**
-	 * Returns what the document stands for.
-	 * @return the value, or {@code null} where the document is of no known kind or not
-	 * whole
+	 * Returns the value that the document represents.
+	 * @return the value, or {@code null} if the document's kind is not supported or it is
+	 * incomplete
 	 */
 	@Nullable T value();
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileDocument.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileDocument.java
@@ -7,7 +7,7 @@
 import org.banyancove.core.profile.Profile;
 
 /**
- * The JSON form of a profile.
+ * The JSON document of a profile.
  */
 record ProfileDocument(String name, String firstTokenTarget, String tokenTarget, String deadline, double objective,
 		int priority, String policy, double retryRatio, double accountShare, boolean keyRequired,
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileRecordCodec.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileRecordCodec.java
@@ -21,13 +21,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The JSON form of the profiles stream, on the log and between entries. Immutable and
- * safe for use by any thread.
+ * Converts the profiles stream to and from JSON, on the log and between entries.
+ * Immutable and thread-safe.
  * <p>
- * A record of a kind that this version does not know, or one that it cannot read, keeps
- * its offset and changes nothing, so that a newer version's record does not stop older
- * readers, and a record without its profile stops nobody's fold. Unknown fields are
- * passed over.
+ * A record of a kind that this version does not support, or one that it cannot read,
+ * keeps its offset and has no effect, so that neither a record of a newer version nor a
+ * record without its profile stops the fold of a reader. Unknown fields are ignored.
  */
 public final class ProfileRecordCodec implements ProfileEntryText {
 
@@ -48,15 +47,15 @@
 		.build();
 
 	/**
-	 * Writes a record.
+	 * Encodes a record.
 	 * @param record the record
-	 * @return its JSON, in one line
+	 * @return the JSON text, in one line
 	 */
 	public String encode(ProfileRecord record) {
-		return writeDocument(document(record));
+		return writeDocument(toDocument(record));
 	}
 
-	private static RecordDocument document(ProfileRecord record) {
+	private static RecordDocument toDocument(ProfileRecord record) {
 		return switch (record) {
 			case ProfileRecord.ProfileChanged changed -> new RecordDocument(PROFILE_CHANGED, changed.recordId(),
 					changed.expectedRevision(), ProfileDocument.of(changed.profile()), null, null, null);
@@ -73,7 +72,7 @@
 	public String write(ProfileEntry entry) {
 		ProfileRecord record = entry.record();
 		return writeDocument(new EntryDocument(entry.offset(), entry.appendedAt().toString(),
-				(record != null) ? document(record) : null));
+				(record != null) ? toDocument(record) : null));
 	}
 
 	@Override
@@ -92,7 +91,7 @@
 	}
 
 	/**
-	 * Writes a change for the log, under its own identifier.
+	 * Encodes a change for the log, with its own identifier.
 	 * @param change the change
 	 * @return the record to append
 	 */
@@ -101,18 +100,19 @@
 	}
 
 	/**
-	 * Reads a record.
-	 * @param text its JSON
-	 * @return the record, or {@code null} where it is of no known kind or not whole
+	 * Decodes a record.
+	 * @param text the JSON text
+	 * @return the record, or {@code null} if its kind is not supported or it is
+	 * incomplete
 	 */
 	public @Nullable ProfileRecord decode(String text) {
 		return read(text, RecordDocument.class);
 	}
 
 	/**
-	 * Reads a page of the log.
+	 * Decodes a page of the log.
 	 * @param page the page
-	 * @return the page with its records read
+	 * @return the page with decoded records
 	 */
 	public ProfilePage decode(LogPage page) {
 		return new ProfilePage(page.firstRetained(), page.endOffset(),
@@ -128,7 +128,7 @@
 			return this.mapper.readValue(text, type).value();
 		}
 		catch (JsonProcessingException | RuntimeException ex) {
-			logger.warn("A text of the profiles stream cannot be read and is passed over: {}", ex.toString());
+			logger.warn("Skipping unreadable text of the profiles stream: {}", ex.toString());
 			return null;
 		}
 	}
@@ -143,7 +143,8 @@
 	}
 
 	/**
-	 * The JSON form of a record; of the last four, one is given, as its kind says.
+	 * The JSON document of a record. Its kind determines which one of the last four
+	 * components is present.
 	 */
 	private record RecordDocument(String kind, @Nullable String recordId, long expectedRevision,
 			@Nullable ProfileDocument profile, @Nullable ServiceDocument service, @Nullable String serviceName,
@@ -173,7 +174,7 @@
 	}
 
 	/**
-	 * The JSON form of a record at its place, as entries pass it on.
+	 * The JSON document of a record with its offset, as entries relay it.
 	 */
 	private record EntryDocument(long offset, String appendedAt,
 			@Nullable RecordDocument record) implements Document<ProfileEntry> {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileStream.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileStream.java
@@ -11,7 +11,7 @@
 import org.banyancove.platform.NewRecord;
 
 /**
- * The profiles stream of the platform's log. Safe for use by any thread.
+ * A client of the profiles stream on the platform's log. Thread-safe.
  */
 public final class ProfileStream {
 
@@ -33,10 +33,10 @@
 	}
 
 	/**
-	 * Appends changes in one append, all or none. Whether each is accepted is seen by
-	 * reading the stream past it.
+	 * Appends changes atomically. Reading the stream past a change determines whether it
+	 * is accepted.
 	 * @param changes the changes, in order
-	 * @return what is known about the append; never ends exceptionally
+	 * @return the known outcome of the append; never completes exceptionally
 	 */
 	public CompletableFuture<AppendResult> append(List<? extends ProfileRecord.Change> changes) {
 		return this.log.append(NAME, changes.stream().map(this.codec::newRecord).toList());
@@ -44,9 +44,9 @@
 
 	/**
 	 * Appends a checkpoint.
-	 * @param recordId the identifier for the record
+	 * @param recordId the identifier of the record
 	 * @param checkpoint the checkpoint
-	 * @return what is known about the append; never ends exceptionally
+	 * @return the known outcome of the append; never completes exceptionally
 	 */
 	public CompletableFuture<AppendResult> append(String recordId, ProfileRecord.ProfilesCheckpoint checkpoint) {
 		return this.log.append(NAME, List.of(new NewRecord(recordId, this.codec.encode(checkpoint))));
@@ -54,9 +54,9 @@
 
 	/**
 	 * Reads records.
-	 * @param from the first offset wanted
-	 * @param wait how long the platform may wait while there is nothing to read
-	 * @return the page; ends as {@link LogClient#read} does where there is no answer
+	 * @param from the offset of the first record to read
+	 * @param wait the maximum time that the platform waits for new records
+	 * @return the page; fails as {@link LogClient#read} does if there is no response
 	 */
 	public CompletableFuture<ProfilePage> read(long from, Duration wait) {
 		return this.log.read(NAME, from, PAGE_LIMIT, wait).thenApply(this.codec::decode);
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/ServiceDocument.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/ServiceDocument.java
@@ -10,7 +10,7 @@
 import org.banyancove.core.profile.ServiceState;
 
 /**
- * The JSON form of a service.
+ * The JSON document of a service.
  */
 record ServiceDocument(String name, String kind, String profile, String state, List<String> repeatableMethods,
 		boolean checksFence) {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/StateDocument.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/StateDocument.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The JSON form of a table's state.
+ * The JSON document of the state of a profile table.
  */
 record StateDocument(long throughOffset, List<RevisedProfile> profiles, List<RevisedService> services,
 		List<Decided> decided, @Nullable Mark lastCheckpoint) implements Document<ProfileTableState> {
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/package-info.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The profiles stream as it stands on the platform's log: its JSON form and its client.
+ * The profiles stream on the platform's log: its JSON format and its client.
  */
 @NullMarked
 package org.banyancove.platform.profile;
--- a/banyancove-platform/src/test/java/org/banyancove/platform/PlatformClientTests.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/PlatformClientTests.java
@@ -61,8 +61,8 @@
 	}
 
 	@Test
-	void readsAPageOfTheLog() {
-		answers(200, """
+	void readsALogPage() {
+		respondWith(200, """
 				{"firstRetained":3,"endOffset":6,"later":"field","records":[
 				{"offset":5,"id":"r","data":"d","appendedAt":"2026-01-01T00:00:00Z"}]}""");
 		assertThat(new LogClient(this.connection).read("keys-0", 4, 10, Duration.ofMillis(7)).join())
@@ -71,23 +71,23 @@
 	}
 
 	@Test
-	void tellsARefusedAppendFromAnUnansweredOne() {
+	void distinguishesRejectedFromUnansweredAppends() {
 		LogClient log = new LogClient(this.connection);
 		List<NewRecord> records = List.of(new NewRecord("r", "d"));
-		answers(429, "{}");
+		respondWith(429, "{}");
 		assertThat(log.append("profiles", records).join()).isInstanceOfSatisfying(AppendResult.Refused.class,
 				(refused) -> assertThat(refused.retryAfter()).isEqualTo(Duration.ofMillis(1500)));
 		assertThat(this.lastRequest)
 			.isEqualTo("POST /log/profiles/records {\"records\":[{\"id\":\"r\",\"data\":\"d\"}]}");
-		answers(500, "{}");
+		respondWith(500, "{}");
 		assertThat(log.append("profiles", records).join()).isInstanceOf(AppendResult.Unanswered.class);
-		answers(200, "{\"firstOff");
+		respondWith(200, "{\"firstOff");
 		assertThat(log.append("profiles", records).join()).isInstanceOf(AppendResult.Unanswered.class);
 	}
 
 	@Test
-	void readsTheListOfVms() {
-		answers(200, """
+	void readsTheVmList() {
+		respondWith(200, """
 				{"asOf":"2026-01-01T00:00:00Z","vms":[
 				{"id":"e1","dataCenter":"north1","zone":"north1-a","machineClass":"small","role":"engine",
 				"service":"drafts","address":"127.0.0.1:9","state":"leaving","reclaimAt":"2026-01-01T00:00:30Z"},
@@ -105,22 +105,22 @@
 
 	@Test
 	void readsNotices() {
-		answers(200, "{\"notices\":[{\"sequence\":4,\"vm\":\"e1\",\"reclaimAt\":\"2026-01-01T00:00:30Z\"}]}");
+		respondWith(200, "{\"notices\":[{\"sequence\":4,\"vm\":\"e1\",\"reclaimAt\":\"2026-01-01T00:00:30Z\"}]}");
 		assertThat(new NoticeClient(this.connection).read(3, Duration.ZERO).join())
 			.containsExactly(new ReclaimNotice(4, new VmId("e1"), Instant.parse("2026-01-01T00:00:30Z")));
 	}
 
 	@Test
-	void buysAndGivesBackVms() {
+	void startsAndStopsVms() {
 		CloudClient cloud = new CloudClient(this.connection);
-		answers(200, "{\"id\":\"vm-1\"}");
+		respondWith(200, "{\"id\":\"vm-1\"}");
 		assertThat(cloud.start(REQUEST).join()).isEqualTo(new StartResult.Started(new VmId("vm-1")));
 		assertThat(this.lastRequest).contains("\"clientToken\":\"token-1\"", "\"reclaimable\":true");
-		answers(503, "{}");
+		respondWith(503, "{}");
 		assertThat(cloud.start(REQUEST).join()).isInstanceOf(StartResult.Refused.class);
-		answers(404, "{}");
+		respondWith(404, "{}");
 		assertThat(cloud.stop(new VmId("vm-1"))).succeedsWithin(Duration.ofSeconds(10));
-		answers(500, "{}");
+		respondWith(500, "{}");
 		assertThatExceptionOfType(Exception.class).isThrownBy(cloud.stop(new VmId("vm-1"))::join)
 			.withCauseInstanceOf(BanyancoveException.class);
 	}
@@ -128,26 +128,26 @@
 	@Test
 	void listsVmsAndPrices() {
 		CloudClient cloud = new CloudClient(this.connection);
-		answers(200, """
+		respondWith(200, """
 				{"vms":[{"id":"vm-1","clientToken":"t","zone":"z","machineClass":"small","reclaimable":false,
 				"state":"live","startedAt":"2026-01-01T00:00:00Z"}]}""");
 		assertThat(cloud.list("t").join()).extracting(CloudVm::clientToken).containsExactly("t");
-		answers(200,
+		respondWith(200,
 				"{\"prices\":[{\"zone\":\"z\",\"machineClass\":\"small\",\"reclaimable\":true,\"perHour\":0.25}]}");
 		assertThat(cloud.prices().join())
 			.containsExactly(new VmPrice(new ZoneName("z"), new MachineClass("small"), true, 0.25));
 	}
 
 	@Test
-	void fetchesWeightsUnderTheStoresRate() {
+	void fetchesWeightsAndReportsRateLimiting() {
 		WeightStoreClient store = new WeightStoreClient(this.connection);
-		answers(200, "{\"bytes\":7}");
+		respondWith(200, "{\"bytes\":7}");
 		assertThat(store.fetch("m").join()).isEqualTo(new WeightResult.Fetched(7));
-		answers(429, "{}");
+		respondWith(429, "{}");
 		assertThat(store.fetch("m").join()).isEqualTo(new WeightResult.Refused(Duration.ofMillis(1500)));
 	}
 
-	private void answers(int status, String answer) {
+	private void respondWith(int status, String answer) {
 		this.status = status;
 		this.answer = answer;
 	}
--- a/banyancove-platform/src/test/java/org/banyancove/platform/PlatformConnectionTests.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/PlatformConnectionTests.java
@@ -26,18 +26,18 @@
 		this.executor.shutdownNow();
 	}
 
-	// The operator's publish hangs once and then works. Three calls at the same time
-	// leave three connections in the client's pool; all of them go silent. The first
-	// call after that times out. The next one must not be given one of the other two:
-	// it opens a new connection and is answered.
+	// Guards against repeated timeouts on pooled connections that have become
+	// unresponsive. Three concurrent calls leave three connections in the client's pool,
+	// all of which become unresponsive. The first call after that times out. The next
+	// call must not reuse one of the other two connections, but open a new one.
 	@Test
-	void aCallAfterATimeoutUsesNoConnectionOfTheOldPool() throws Exception {
-		try (SilentServer server = new SilentServer("{\"firstOffset\":1,\"lastOffset\":2}");
+	void callAfterATimeoutReusesNoPooledConnection() throws Exception {
+		try (UnresponsiveServer server = new UnresponsiveServer("{\"firstOffset\":1,\"lastOffset\":2}");
 				PlatformConnection connection = connect(server)) {
 			LogClient log = new LogClient(connection);
 			List<CompletableFuture<AppendResult>> calls = IntStream.range(0, 3).mapToObj((i) -> append(log)).toList();
 			calls.forEach((call) -> assertThat(call.join()).isEqualTo(new AppendResult.Appended(1, 2)));
-			server.silenceOpenConnections();
+			server.stopRespondingOnOpenConnections();
 			int open = server.connections();
 			assertThat(append(log).join()).isInstanceOf(AppendResult.Unanswered.class);
 			assertThat(append(log).join()).isEqualTo(new AppendResult.Appended(1, 2));
@@ -45,11 +45,11 @@
 		}
 	}
 
-	// The headers of an answer arrive and its body never does. The JDK's own timeout has
-	// ended by then, so a call without one of its own would wait for good.
+	// The headers of a response arrive but its body does not. The JDK's own timeout only
+	// covers the headers, so a call without a timeout of its own would never complete.
 	@Test
-	void anAnswerThatStopsAfterItsHeadersTimesOut() throws Exception {
-		try (SilentServer server = new SilentServer("{\"firstRetained\":0,\"endOffset\":0,\"records\":[]}");
+	void responseWithoutABodyTimesOut() throws Exception {
+		try (UnresponsiveServer server = new UnresponsiveServer("{\"firstRetained\":0,\"endOffset\":0,\"records\":[]}");
 				PlatformConnection connection = connect(server)) {
 			LogClient log = new LogClient(connection);
 			server.stopAfterHeaders(true);
@@ -63,16 +63,15 @@
 		}
 	}
 
-	// The endpoint reads an append and closes the connection without an answer. The
-	// append may have taken effect; the client must not send it a second time by
-	// itself.
+	// The log reads an append and closes the connection without a response. The append
+	// may have taken effect, so the client must not send it again by itself.
 	@Test
-	void anAppendWhoseAnswerIsLostIsSentOnce() throws Exception {
-		SilentServer server = new SilentServer("{\"firstOffset\":1,\"lastOffset\":2}");
+	void appendWithALostResponseIsSentOnce() throws Exception {
+		UnresponsiveServer server = new UnresponsiveServer("{\"firstOffset\":1,\"lastOffset\":2}");
 		try (PlatformConnection connection = connect(server)) {
 			LogClient log = new LogClient(connection);
 			append(log).join();
-			server.silenceOpenConnections();
+			server.stopRespondingOnOpenConnections();
 			CompletableFuture<AppendResult> call = append(log);
 			while (server.requests() < 2) {
 				Thread.onSpinWait();
@@ -83,7 +82,7 @@
 		}
 	}
 
-	private PlatformConnection connect(SilentServer server) {
+	private PlatformConnection connect(UnresponsiveServer server) {
 		return new PlatformConnection(server.address(), TIMEOUT, this.executor);
 	}
 
--- a/banyancove-platform/src/test/java/org/banyancove/platform/SilentServer.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/UnresponsiveServer.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An HTTP server whose open connections can go silent, as when something between the two
- * ends has lost track of them, while new connections work.
+ * An HTTP server that can stop responding on its open connections, as after a network
+ * device has lost their state, while new connections work.
  */
-final class SilentServer implements AutoCloseable {
+final class UnresponsiveServer implements AutoCloseable {
 
 	private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
@@ -31,11 +31,11 @@
 
 	private final String body;
 
-	private volatile int silentBefore;
+	private volatile int unresponsiveConnections;
 
-	private volatile boolean truncate;
+	private volatile boolean omitBody;
 
-	SilentServer(String body) throws IOException {
+	UnresponsiveServer(String body) throws IOException {
 		this.body = body;
 		this.executor.execute(this::accept);
 	}
@@ -53,18 +53,18 @@
 	}
 
 	/**
-	 * Lets all connections that are open now read requests but answer none.
+	 * Stops responding on all currently open connections, which still read requests.
 	 */
-	void silenceOpenConnections() {
-		this.silentBefore = this.sockets.size();
+	void stopRespondingOnOpenConnections() {
+		this.unresponsiveConnections = this.sockets.size();
 	}
 
 	/**
-	 * Lets all answers stop after their headers, or go on in full.
-	 * @param stop whether they stop
+	 * Sets whether responses end after their headers.
+	 * @param stop whether to omit the response body
 	 */
 	void stopAfterHeaders(boolean stop) {
-		this.truncate = stop;
+		this.omitBody = stop;
 	}
 
 	@Override
@@ -86,7 +86,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// Closed at the end of the test.
+			// Expected: the test closed the server socket.
 		}
 	}
 
@@ -96,19 +96,19 @@
 					new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
 			while (readRequest(reader)) {
 				this.requests.incrementAndGet();
-				if (number > this.silentBefore) {
-					answer(socket.getOutputStream());
+				if (number > this.unresponsiveConnections) {
+					respond(socket.getOutputStream());
 				}
 			}
 		}
 		catch (IOException ex) {
-			// The client has left the connection.
+			// Expected: the client closed the connection.
 		}
 	}
 
-	private void answer(OutputStream output) throws IOException {
+	private void respond(OutputStream output) throws IOException {
 		String head = "HTTP/1.1 200 OK\r\nContent-Length: " + this.body.length() + "\r\n\r\n";
-		output.write((head + (this.truncate ? "" : this.body)).getBytes(StandardCharsets.UTF_8));
+		output.write((head + (this.omitBody ? "" : this.body)).getBytes(StandardCharsets.UTF_8));
 		output.flush();
 	}
 
--- a/banyancove-platform/src/test/java/org/banyancove/platform/lease/LeaseRecordCodecTests.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/lease/LeaseRecordCodecTests.java
@@ -24,7 +24,7 @@
 	private final LeaseRecordCodec codec = new LeaseRecordCodec();
 
 	@Test
-	void everyRecordIsReadAsItWasWritten() {
+	void everyRecordSurvivesARoundTrip() {
 		Duration lease = Duration.ofSeconds(15);
 		for (LeaseRecord record : List.of(new LeaseRecord.Acquired(ID, NORTH, AUTHOR, lease),
 				new LeaseRecord.Renewed(ID, NORTH, AUTHOR, 4, lease), new LeaseRecord.Resigned(ID, NORTH, AUTHOR, 4))) {
@@ -34,10 +34,11 @@
 		}
 	}
 
-	// A newer version or a faulty tool has written to the stream. Planners must go on
-	// past such a record, or no lease would be renewed again and nothing be bought.
+	// A newer version or a faulty tool writes a record that this version cannot read.
+	// Planners must continue after it; otherwise no lease could be renewed and no VM be
+	// started.
 	@Test
-	void recordsThatCannotBeReadChangeNothing() {
+	void unreadableRecordsAreIgnored() {
 		String written = this.codec.newRecord(new LeaseRecord.Renewed(ID, NORTH, AUTHOR, 4, Duration.ofSeconds(1)))
 			.data();
 		for (String data : List.of("not json", "[]", "null", "{}", "{\"kind\":\"Later\"}", "{\"kind\":\"Acquired\"}",
--- a/banyancove-platform/src/test/java/org/banyancove/platform/lease/package-info.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/lease/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the stream of leases.
+ * Tests of the leases stream.
  */
 @NullMarked
 package org.banyancove.platform.lease;
--- a/banyancove-platform/src/test/java/org/banyancove/platform/ledger/LedgerMeasurement.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/ledger/LedgerMeasurement.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Measures the fold at three sizes. Not part of the tests; run by
- * {@code bin/build -q test -pl banyancove-platform -am -Dtest=LedgerMeasurement
+ * Measures the cost of the fold at three table sizes. Not part of the test suite; run
+ * with {@code bin/build -q test -pl banyancove-platform -am -Dtest=LedgerMeasurement
  * -Dsurefire.failIfNoSpecifiedTests=false -Dsurefire.argLine="-Xmx3g -XX:+UseSerialGC"}.
  */
 class LedgerMeasurement {
@@ -32,7 +32,7 @@
 
 	private static final int MEASURED_CALLS = 300_000;
 
-	/** Ten minutes of a day. */
+	/** The ratio of a key window of one day to an answer window of ten minutes. */
 	private static final int WINDOWS_PER_KEY_WINDOW = 144;
 
 	private static final Duration BETWEEN_CALLS = Duration.ofMillis(1);
@@ -47,7 +47,7 @@
 	private long offset;
 
 	@Test
-	void printsTheFoldsSlopes() {
+	void printsFoldCosts() {
 		measure(SIZES[0], 1);
 		measure(SIZES[0], WINDOWS_PER_KEY_WINDOW);
 		for (int size : SIZES) {
@@ -57,7 +57,7 @@
 		printSizes();
 	}
 
-	// The records come as the log gives them: fresh objects, decoded from text.
+	// The records are decoded from text into new objects, as records from the log are.
 	private void measure(int keys, int answerWindows) {
 		this.offset = 0;
 		Duration window = BETWEEN_CALLS.multipliedBy(keys);
--- a/banyancove-platform/src/test/java/org/banyancove/platform/ledger/LedgerRecordCodecTests.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/ledger/LedgerRecordCodecTests.java
@@ -37,14 +37,14 @@
 	private final LedgerRecordCodec codec = new LedgerRecordCodec();
 
 	@Property(tries = 300, seed = "4")
-	void aRecordReadsAsItWasWritten(@ForAll("records") LedgerRecord record) {
+	void recordSurvivesARoundTrip(@ForAll("records") LedgerRecord record) {
 		assertThat(this.codec.decode(record.id(), this.codec.encode(record))).isEqualTo(record);
 	}
 
-	// A process reads text that was cut, mixed up or written by something else. All
-	// processes must take it alike and go on: an exception would end the fold for all.
+	// Text on the log is truncated, corrupted or written by other software. All processes
+	// must decode it alike and continue: an exception would stop the fold of each.
 	@Property(tries = 300, seed = "5")
-	void brokenTextIsUnrecognizedOrARecord(@ForAll("records") LedgerRecord record, @ForAll int cut,
+	void malformedTextIsUnrecognizedOrARecord(@ForAll("records") LedgerRecord record, @ForAll int cut,
 			@ForAll char replacement) {
 		StringBuilder text = new StringBuilder(this.codec.encode(record));
 		text.setCharAt(Math.floorMod(cut, text.length()), replacement);
@@ -57,15 +57,15 @@
 	@ValueSource(strings = { "", "null", "[]", "7", "{}", "{\"kind\":\"merged\"}", "{\"kind\":7}",
 			"{\"kind\":\"intent\"}", "{\"kind\":\"checkpoint\",\"checkpoint\":\"a\",\"through\":1,"
 					+ "\"logTime\":\"2026-01-01T00:00:00Z\",\"part\":3,\"parts\":1,\"states\":[]}" })
-	void textThatThisVersionCannotReadIsUnrecognized(String text) {
+	void unsupportedTextIsUnrecognized(String text) {
 		assertThat(this.codec.decode(ID, text)).isEqualTo(new LedgerRecord.Unrecognized(ID));
 	}
 
-	// A process of a version that does not know digests reads a checkpoint that holds
-	// some.
-	// Were it to take the rest for the whole state, it would run those calls again.
+	// A process of a version that does not support digests reads a checkpoint with
+	// digests. If it treated the other keys as the complete state, it would run the calls
+	// of those digests again.
 	@Test
-	void aCheckpointWithDigestsIsOfAKindOfItsOwn() {
+	void checkpointWithDigestsHasItsOwnKind() {
 		EndedKey key = new EndedKey(new KeyDigest(1, 2), 3, Instant.EPOCH, 201);
 		assertThat(this.codec.encode(checkpoint(EndedKeys.of(List.of(key)))))
 			.contains("\"kind\":\"checkpoint-with-digests\"");
@@ -77,7 +77,7 @@
 	}
 
 	@Test
-	void fieldsThatThisVersionDoesNotKnowArePassedOver() {
+	void unknownFieldsAreIgnored() {
 		LedgerRecord.Released released = new LedgerRecord.Released(ID, new Incarnation(new VmId("vm"), 1),
 				new CallKey(new AccountName("a"), new ServiceName("s"), "k"), 3);
 		String text = this.codec.encode(released).replace("{", "{\"later\":{\"field\":[1]},");
--- a/banyancove-platform/src/test/java/org/banyancove/platform/profile/ProfileRecordCodecMeasurement.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/profile/ProfileRecordCodecMeasurement.java
@@ -17,8 +17,8 @@
 import org.banyancove.platform.NewRecord;
 
 /**
- * Measures the JSON form: bytes and reading time of a change and of a state. A program
- * and not a test, since its figures depend on the machine.
+ * Measures the size and decoding time of the JSON text of a change and of a state. A
+ * program rather than a test, because its results depend on the machine.
  */
 public final class ProfileRecordCodecMeasurement {
 
--- a/banyancove-platform/src/test/java/org/banyancove/platform/profile/ProfileRecordCodecTests.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/profile/ProfileRecordCodecTests.java
@@ -43,7 +43,7 @@
 	private final ProfileRecordCodec codec = new ProfileRecordCodec();
 
 	@Test
-	void everyRecordIsReadAsItWasWritten() {
+	void everyRecordSurvivesARoundTrip() {
 		List<ProfileRecord.Change> changes = List.of(new ProfileRecord.ProfileChanged("a", -1, PROFILE),
 				new ProfileRecord.ServiceChanged("b", 4, SERVICE),
 				new ProfileRecord.ServiceRetired("c", 5, SERVICE.name()));
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void whatEntriesPassOnIsReadAsItWasWritten() {
+	void relayedEntriesAndStatesSurviveARoundTrip() {
 		Instant at = Instant.parse("2026-01-01T00:00:00Z");
 		ProfileEntry changed = new ProfileEntry(3, at, new ProfileRecord.ProfileChanged("a", -1, PROFILE));
 		ProfileEntry unknown = new ProfileEntry(4, at, null);
@@ -67,10 +67,10 @@
 		assertThat(this.codec.readState("not json")).isNull();
 	}
 
-	// A newer version or a faulty tool has written to the stream. Older readers must not
-	// stop at such a record, or no later change would come into force with them.
+	// A newer version or a faulty tool writes a record that this version cannot read.
+	// Readers must continue after it; otherwise they would apply no later change.
 	@Test
-	void recordsThatCannotBeReadKeepTheirOffsetAndChangeNothing() {
+	void unreadableRecordsKeepTheirOffsetAndAreIgnored() {
 		for (String data : List.of("{\"kind\":\"later\"}", "not json", "{\"kind\":\"profile-changed\"}", "[]", "null",
 				"{\"kind\":\"profile-changed\",\"recordId\":\"x\",\"expectedRevision\":-1}",
 				"{\"kind\":\"service-retired\",\"expectedRevision\":1,\"serviceName\":\"feed\"}",
--- a/banyancove-platform/src/test/java/org/banyancove/platform/profile/package-info.java
+++ b/banyancove-platform/src/test/java/org/banyancove/platform/profile/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the profiles stream's JSON form.
+ * Tests of the JSON format of the profiles stream.
  */
 @NullMarked
 package org.banyancove.platform.profile;
