--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerEvents.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/CommandResultListener.java
@@ -9,26 +9,26 @@
 import org.banyancove.core.planner.StartResult;
 
 /**
- * Takes what came of the commands, on any thread.
+ * Receives the results of the planner's commands. Called on any thread.
  */
-interface PlannerEvents {
+interface CommandResultListener {
 
 	/**
-	 * Takes a list.
+	 * Receives the VMs of a list request.
 	 * @param request the request's number
-	 * @param found the VMs listed
+	 * @param vms the listed VMs
 	 */
-	void listed(long request, List<CloudVm> found);
+	void vmsListed(long request, List<CloudVm> vms);
 
 	/**
-	 * Takes the answer to a start.
-	 * @param token the purchase
+	 * Receives the result of a start.
+	 * @param token the client token of the start
 	 * @param result the result
 	 */
 	void startAnswered(ClientToken token, StartResult result);
 
 	/**
-	 * Takes what became of an order or a read-back.
+	 * Receives the result of an order or a read-back.
 	 * @param vm the engine's VM
 	 * @param result the result
 	 */
--- a/banyancove-planner/src/main/java/org/banyancove/planner/EngineAddresses.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/EngineAddresses.java
@@ -16,21 +16,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The addresses of engines, from the platform's lagging list. Safe for use by any thread.
+ * Resolves the addresses of engines from the platform's VM list, which may be stale.
+ * Thread-safe.
  * <p>
- * An engine that is not listed yet has no address: its orders wait, as for one that does
- * not answer.
+ * An engine that is not listed yet has no address, so its orders are retried as for an
+ * engine that does not respond.
  */
 final class EngineAddresses {
 
 	private static final Logger logger = LoggerFactory.getLogger(EngineAddresses.class);
 
-	private final VmListClient list;
+	private final VmListClient vmListClient;
 
 	private volatile Map<VmId, String> addresses = Map.of();
 
-	EngineAddresses(VmListClient list) {
-		this.list = list;
+	EngineAddresses(VmListClient vmListClient) {
+		this.vmListClient = vmListClient;
 	}
 
 	void start(Duration interval, ScheduledExecutorService timer) {
@@ -42,9 +43,9 @@
 	}
 
 	private void refresh() {
-		this.list.read().whenComplete((vms, failure) -> {
+		this.vmListClient.read().whenComplete((vms, failure) -> {
 			if (failure != null) {
-				logger.debug("The list of VMs cannot be read", failure);
+				logger.debug("Cannot read the VM list", failure);
 				return;
 			}
 			this.addresses = addresses(vms);
--- a/banyancove-planner/src/main/java/org/banyancove/planner/FailureCounters.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/FailureCounters.java
@@ -5,7 +5,7 @@
 import org.banyancove.program.TickLoop;
 
 /**
- * Counts the events that failed. Safe for use by any thread.
+ * Counts invariant violations and events whose handling failed. Thread-safe.
  */
 final class FailureCounters implements TickLoop.FailureListener {
 
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerCommands.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerCommands.java
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries the core's commands to the platform and to engines; none of them waits. Used by
- * the planner's loop; answers come on other threads.
+ * Sends the core's commands to the platform and to engines without blocking. Called on
+ * the planner's event loop; results are reported on other threads.
  */
 final class PlannerCommands implements PlannerPort {
 
@@ -44,13 +44,13 @@
 
 	private final PlannerCounters counters;
 
-	private final PlannerEvents events;
+	private final CommandResultListener listener;
 
 	private CompletableFuture<AppendResult> lastAppend = CompletableFuture
-		.completedFuture(new AppendResult.Unanswered("nothing was appended"));
+		.completedFuture(new AppendResult.Unanswered("nothing has been appended"));
 
 	PlannerCommands(DataCenterName dataCenter, ServiceName service, LeaseStream leases, CloudClient cloud,
-			EngineClient engines, EngineAddresses addresses, PlannerCounters counters, PlannerEvents events) {
+			EngineClient engines, EngineAddresses addresses, PlannerCounters counters, CommandResultListener listener) {
 		this.dataCenter = dataCenter;
 		this.service = service;
 		this.leases = leases;
@@ -58,20 +58,20 @@
 		this.engines = engines;
 		this.addresses = addresses;
 		this.counters = counters;
-		this.events = events;
+		this.listener = listener;
 	}
 
 	@Override
 	public void append(LeaseRecord record) {
 		this.lastAppend = this.leases.append(record).whenComplete((result, _) -> {
-			this.counters.appended(result);
+			this.counters.recordAppend(result);
 			if (!(result instanceof AppendResult.Appended)) {
-				logger.warn("The lease's record {} was not appended for sure: {}", record, result);
+				logger.warn("Cannot confirm the append of lease record {}: {}", record, result);
 			}
 		});
 	}
 
-	// The newest append, for a stop to wait for.
+	// A shutdown waits for the latest append so that the resignation is not lost.
 	CompletableFuture<AppendResult> lastAppend() {
 		return this.lastAppend;
 	}
@@ -79,9 +79,9 @@
 	@Override
 	public void list(long request) {
 		this.cloud.list(ClientToken.prefix(this.dataCenter)).whenComplete((vms, failure) -> {
-			this.counters.listed(failure == null);
+			this.counters.recordList(failure == null);
 			if (failure == null) {
-				this.events.listed(request, vms.stream().map(PlannerCommands::convert).toList());
+				this.listener.vmsListed(request, vms.stream().map(PlannerCommands::convert).toList());
 			}
 		});
 	}
@@ -91,18 +91,18 @@
 		StartRequest request = new StartRequest(token.value(), this.dataCenter, kind.zone(), kind.machineClass(),
 				kind.reclaimable(), this.service);
 		this.cloud.start(request).thenAccept((answer) -> {
-			logger.info("Start of {} under {}: {}", kind, token.value(), answer);
+			logger.info("Start of {} with client token {}: {}", kind, token.value(), answer);
 			StartResult result = convert(answer);
-			this.counters.started(kind, result);
-			this.events.startAnswered(token, result);
+			this.counters.recordStart(kind, result);
+			this.listener.startAnswered(token, result);
 		});
 	}
 
 	@Override
 	public void stop(VmId vm) {
 		this.cloud.stop(vm).whenComplete((_, failure) -> {
-			logger.info("{} is given back: {}", vm, (failure != null) ? failure : "taken");
-			this.counters.stopped(failure == null);
+			logger.info("Stop of VM {}: {}", vm, (failure != null) ? failure : "accepted");
+			this.counters.recordStop(failure == null);
 		});
 	}
 
@@ -110,13 +110,13 @@
 	public void order(VmId vm, long fence, EngineState state) {
 		String address = this.addresses.find(vm);
 		if (address == null) {
-			this.events.orderAnswered(vm, new OrderResult.Unanswered());
+			this.listener.orderAnswered(vm, new OrderResult.Unanswered());
 			return;
 		}
 		this.engines.order(address, fence, state).thenAccept((result) -> {
-			logger.info("{} is ordered to {} under {}: {}", vm, state, fence, result);
-			this.counters.ordered(result);
-			this.events.orderAnswered(vm, result);
+			logger.info("Order to the engine on VM {} for {} with fencing token {}: {}", vm, state, fence, result);
+			this.counters.recordOrder(result);
+			this.listener.orderAnswered(vm, result);
 		});
 	}
 
@@ -124,7 +124,7 @@
 	public void readBack(VmId vm) {
 		String address = this.addresses.find(vm);
 		if (address != null) {
-			this.engines.readBack(address).thenAccept((result) -> this.events.orderAnswered(vm, result));
+			this.engines.readBack(address).thenAccept((result) -> this.listener.orderAnswered(vm, result));
 		}
 	}
 
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerCounters.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerCounters.java
@@ -8,7 +8,7 @@
 import org.banyancove.platform.AppendResult;
 
 /**
- * Counts what came of the planner's commands. Safe for use by any thread.
+ * Counts the results of the planner's commands. Thread-safe.
  */
 final class PlannerCounters {
 
@@ -34,7 +34,7 @@
 				"Answers to appends to the stream of leases", RESULT);
 	}
 
-	void started(VmKind kind, StartResult result) {
+	void recordStart(VmKind kind, StartResult result) {
 		String name = switch (result) {
 			case StartResult.Started _ -> "started";
 			case StartResult.Refused _ -> "refused";
@@ -43,11 +43,11 @@
 		this.starts.labelValues(kind.zone().value(), kind.machineClass().value(), name).inc();
 	}
 
-	void stopped(boolean answered) {
-		this.stops.labelValues(answered(answered)).inc();
+	void recordStop(boolean answered) {
+		this.stops.labelValues(resultLabel(answered)).inc();
 	}
 
-	void ordered(OrderResult result) {
+	void recordOrder(OrderResult result) {
 		String name = switch (result) {
 			case OrderResult.ReadBack _ -> "read_back";
 			case OrderResult.Fenced _ -> "fenced";
@@ -57,11 +57,11 @@
 		this.orders.labelValues(name).inc();
 	}
 
-	void listed(boolean answered) {
-		this.lists.labelValues(answered(answered)).inc();
+	void recordList(boolean answered) {
+		this.lists.labelValues(resultLabel(answered)).inc();
 	}
 
-	void appended(AppendResult result) {
+	void recordAppend(AppendResult result) {
 		String name = switch (result) {
 			case AppendResult.Appended _ -> "appended";
 			case AppendResult.Refused _ -> "refused";
@@ -70,7 +70,7 @@
 		this.appends.labelValues(name).inc();
 	}
 
-	private static String answered(boolean answered) {
+	private static String resultLabel(boolean answered) {
 		return answered ? "answered" : "unanswered";
 	}
 
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerDaemon.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerDaemon.java
@@ -43,17 +43,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One running planner: the core on its loop, and the adapters around it.
+ * Runs a planner: the core on its event loop, and the adapters around it.
  */
-final class PlannerDaemon implements PlannerEvents, AutoCloseable {
+final class PlannerDaemon implements CommandResultListener, AutoCloseable {
 
 	private static final Logger logger = LoggerFactory.getLogger(PlannerDaemon.class);
 
 	private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
-	private static final Duration PRICE_PAUSE = Duration.ofSeconds(1);
+	private static final Duration PRICE_RETRY_DELAY = Duration.ofSeconds(1);
 
 	private final ExecutorService callExecutor = Executors.newVirtualThreadPerTaskExecutor();
 
@@ -88,11 +88,11 @@
 	private volatile boolean pricesRead;
 
 	/**
-	 * Creates a planner and takes its address.
-	 * @param settings the settings
-	 * @param clock the clock
+	 * Creates a planner and binds its address.
+	 * @param settings the planner's settings
+	 * @param clock the wall clock
 	 * @param seed the seed of all random choices
-	 * @throws IOException if the address is in use
+	 * @throws IOException if the address cannot be bound
 	 */
 	PlannerDaemon(PlannerProgramSettings settings, InstantSource clock, long seed) throws IOException {
 		RandomGenerator random = RandomGeneratorFactory.of(RANDOM_ALGORITHM).create(seed);
@@ -111,28 +111,31 @@
 		this.addresses = new EngineAddresses(new VmListClient(this.platform));
 		this.commands = new PlannerCommands(process.dataCenter(), settings.capacity().service(), this.leases,
 				this.cloud, this.engines, this.addresses, new PlannerCounters(registry), this);
-		this.system = new PlannerSystem(self, process.dataCenter(), clock, random, settings.core(), this.commands);
+		this.system = new PlannerSystem(self, process.dataCenter(), clock, random, settings.plannerSettings(),
+				this.commands);
 		new PlannerMetrics(this.system, this.loop, this.failures).register(registry, settings.capacity().target());
 		MetricsText metrics = new MetricsText(registry);
 		StatusPages pages = new StatusPages(() -> this.leasesRead && this.pricesRead, metrics::text,
-				() -> this.loop.read(() -> StatusDocument.of(self, process.dataCenter().value(), this.system)).text());
+				() -> this.loop.read(() -> StatusDocument.of(self, process.dataCenter().value(), this.system))
+					.toJson());
 		this.server = HttpServer.create(SocketAddressText.parse(settings.status().address()), 0);
 		this.server.setExecutor(this.callExecutor);
 		this.server.createContext("/", pages);
 	}
 
 	/**
-	 * Starts to plan. The core ticks only once the stream of leases was read, so that a
-	 * planner which starts late asks for no lease that stands.
+	 * Starts planning. The core ticks only after the lease stream has been read, so that
+	 * a planner that starts late does not request a lease that another planner holds.
 	 */
 	void start() {
-		this.loop.post(() -> this.system.want(this.settings.capacity().target(), this.settings.engines().state()));
-		this.leases.follow(this.settings.platform().readWait(), this.timer, this::leasesRead);
+		this.loop
+			.post(() -> this.system.want(this.settings.capacity().target(), this.settings.engines().desiredState()));
+		this.leases.follow(this.settings.platform().readWait(), this.timer, this::applyLeaseRecords);
 		this.addresses.start(this.settings.pace().listInterval(), this.timer);
 		readPrices();
-		this.loop.start(TICK, this::tick);
+		this.loop.start(TICK_INTERVAL, this::tick);
 		this.server.start();
-		logger.info("Planner of {} listens on {}", this.settings.process().dataCenter(), address());
+		logger.info("Planner of data center {} listens on {}", this.settings.process().dataCenter(), address());
 	}
 
 	InetSocketAddress address() {
@@ -140,16 +143,16 @@
 	}
 
 	/**
-	 * Gives the lease up, so that another planner goes on at once, and stops. The VMs run
-	 * on.
+	 * Resigns the lease, so that another planner can acquire it at once, and stops. The
+	 * VMs keep running.
 	 */
 	void stop() {
-		logger.info("Planner of {} stops", this.settings.process().dataCenter());
-		CompletableFuture<AppendResult> resigned = this.loop.read(() -> {
+		logger.info("Planner of data center {} is stopping", this.settings.process().dataCenter());
+		CompletableFuture<AppendResult> resignation = this.loop.read(() -> {
 			this.system.resign();
 			return this.commands.lastAppend();
 		});
-		resigned.join();
+		resignation.join();
 		close();
 	}
 
@@ -164,8 +167,8 @@
 	}
 
 	@Override
-	public void listed(long request, List<CloudVm> found) {
-		this.loop.post(() -> this.system.listed(request, found));
+	public void vmsListed(long request, List<CloudVm> vms) {
+		this.loop.post(() -> this.system.listed(request, vms));
 	}
 
 	@Override
@@ -184,7 +187,7 @@
 		}
 	}
 
-	private void leasesRead(List<ReadLeaseRecord> records) {
+	private void applyLeaseRecords(List<ReadLeaseRecord> records) {
 		this.loop.post(() -> {
 			records.forEach((record) -> this.system.leaseRead(record.offset(), record.record(), record.appendedAt()));
 			this.leasesRead = true;
@@ -196,17 +199,17 @@
 			if (this.timer.isShutdown()) {
 				return;
 			}
-			Duration pause = PRICE_PAUSE;
+			Duration delay = PRICE_RETRY_DELAY;
 			if (failure != null) {
-				logger.warn("The prices cannot be read: {}", failure.toString());
+				logger.warn("Cannot read the VM prices: {}", failure.toString());
 			}
 			else {
 				List<Offer> offers = offers(prices);
 				this.loop.post(() -> this.system.offered(offers));
 				this.pricesRead = true;
-				pause = this.settings.platform().priceInterval();
+				delay = this.settings.platform().priceInterval();
 			}
-			this.timer.schedule(this::readPrices, pause.toMillis(), TimeUnit.MILLISECONDS);
+			this.timer.schedule(this::readPrices, delay.toMillis(), TimeUnit.MILLISECONDS);
 		});
 	}
 
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerMetrics.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerMetrics.java
@@ -9,7 +9,7 @@
 import org.banyancove.program.TickLoop;
 
 /**
- * The metrics of a planner that are read from its state when they are scraped.
+ * Registers the metrics that are read from the planner's state on each scrape.
  */
 final class PlannerMetrics {
 
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerProgram.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerProgram.java
@@ -11,7 +11,7 @@
 import org.banyancove.program.SocketAddressText;
 
 /**
- * The planner daemon's program.
+ * Entry point of the planner daemon.
  */
 public final class PlannerProgram extends CommandLineProgram<PlannerProgramSettings> {
 
@@ -20,7 +20,7 @@
 	}
 
 	/**
-	 * Runs a planner until it is told to stop.
+	 * Runs a planner until the process is terminated.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerProgramSettings.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerProgramSettings.java
@@ -18,20 +18,21 @@
 /**
  * The settings file of a planner.
  *
- * @param process who and where this process is
- * @param status the pages for operators
- * @param platform the platform
- * @param capacity what is wanted
+ * @param process the identity of this process
+ * @param status the status server
+ * @param platform the connection to the platform
+ * @param capacity the target capacity
  * @param machines the machine classes that may be bought
- * @param engines what each engine should hold
- * @param pace how fast the planner acts
+ * @param engines the desired state of each engine
+ * @param pace the intervals and limits of the planner's actions
  */
 public record PlannerProgramSettings(Identity process, Status status, Platform platform, Capacity capacity,
 		List<Machine> machines, Engines engines, Pace pace) {
 
 	/**
 	 * Creates the settings.
-	 * @throws IllegalArgumentException if no machine class is given, or one twice
+	 * @throws IllegalArgumentException if {@code machines} is empty or names a class
+	 * twice
 	 */
 	public PlannerProgramSettings {
 		if (machines.isEmpty()) {
@@ -47,19 +48,19 @@
 	}
 
 	/**
-	 * Returns the settings of the decisions.
-	 * @return the core's settings
+	 * Returns the settings of the core.
+	 * @return the planner settings
 	 */
-	PlannerSettings core() {
+	PlannerSettings plannerSettings() {
 		return new PlannerSettings(this.pace.lease, this.pace.listInterval, this.platform.timeout.multipliedBy(2),
 				this.pace.orderInterval, this.pace.refusedStart, this.pace.startsInFlight, this.pace.loadsPerSecond,
 				this.pace.loadBurst);
 	}
 
 	/**
-	 * Who and where this process is.
+	 * The identity of this process.
 	 *
-	 * @param vm the VM's identifier
+	 * @param vm the identifier of this VM
 	 * @param dataCenter the data center to plan for
 	 */
 	public record Identity(@SettingsKey(meaning = "the platform's identifier of this VM") VmId vm,
@@ -68,9 +69,9 @@
 	}
 
 	/**
-	 * The pages for operators.
+	 * The server of the health, metrics and status pages.
 	 *
-	 * @param address the address to listen on
+	 * @param address the address and port to listen on
 	 */
 	public record Status(@SettingsKey(
 			meaning = "the address and port of /livez, /readyz, /metrics and /status, port 0 for a free one",
@@ -79,17 +80,17 @@
 	}
 
 	/**
-	 * The platform.
+	 * The connection to the platform.
 	 *
 	 * @param address the platform's address
-	 * @param timeout the time for one answer
-	 * @param readWait how long a read may wait at the platform
-	 * @param priceInterval the time between reads of prices
+	 * @param timeout the timeout of one call
+	 * @param readWait the long-polling timeout of a log read
+	 * @param priceInterval the interval between reads of the prices
 	 */
 	public record Platform(@SettingsKey(meaning = "the platform's address") URI address,
 			@SettingsKey(meaning = "the time for one answer of the platform or of an engine",
 					defaultValue = "2s") Duration timeout,
-			@SettingsKey(meaning = "how long a read of the log waits at the platform for something new",
+			@SettingsKey(meaning = "how long a read of the log waits at the platform for new records",
 					defaultValue = "5s") Duration readWait,
 			@SettingsKey(meaning = "the time between reads of the cloud's prices",
 					defaultValue = "1m") Duration priceInterval) {
@@ -97,14 +98,14 @@
 	}
 
 	/**
-	 * What is wanted.
+	 * The target capacity.
 	 *
-	 * @param target the capacity after the loss of the largest zone
+	 * @param target the capacity that remains after the loss of the largest zone
 	 * @param service the service that VMs are bought for
 	 * @param zones the data center's zones
 	 */
 	public record Capacity(
-			@SettingsKey(meaning = "the capacity to have left when the largest zone is reclaimed at once",
+			@SettingsKey(meaning = "the capacity that remains when the largest zone is reclaimed at once",
 					unit = "as machines.capacity") double target,
 			@SettingsKey(meaning = "the service that VMs are bought for") ServiceName service,
 			@SettingsKey(meaning = "the zones of the data center to buy in") List<ZoneName> zones) {
@@ -129,7 +130,7 @@
 	 * A machine class that may be bought.
 	 *
 	 * @param name the machine class
-	 * @param capacity what one VM carries
+	 * @param capacity the capacity of one VM, in the unit of {@link Capacity#target}
 	 */
 	public record Machine(@SettingsKey(meaning = "the machine class") MachineClass name,
 			@SettingsKey(meaning = "what one VM of the class carries, such as tokens a second",
@@ -148,9 +149,9 @@
 	}
 
 	/**
-	 * What each engine should hold.
+	 * The desired state of each engine.
 	 *
-	 * @param models the models and versions
+	 * @param models the models, with versions
 	 * @param adapters the adapters
 	 * @param role the role
 	 */
@@ -161,31 +162,31 @@
 					defaultValue = "[]") List<String> adapters,
 			@SettingsKey(meaning = "the role of every engine", defaultValue = "mixed") String role) {
 
-		EngineState state() {
+		EngineState desiredState() {
 			return new EngineState(Set.copyOf(this.models), Set.copyOf(this.adapters), this.role);
 		}
 
 	}
 
 	/**
-	 * How fast the planner acts.
+	 * The intervals and limits of the planner's actions.
 	 *
-	 * @param lease how long the lease lasts
-	 * @param listInterval the time between lists
-	 * @param orderInterval the time between reads of an engine's state
-	 * @param refusedStart the first wait after a refused start
-	 * @param startsInFlight the starts that may be unanswered at once
-	 * @param loadsPerSecond the weight store's rate
-	 * @param loadBurst the loads that may begin at once
+	 * @param lease the duration of the lease without a renewal
+	 * @param listInterval the interval between lists of the VMs
+	 * @param orderInterval the interval between reads of an engine's state
+	 * @param refusedStart the mean initial delay after a refused start
+	 * @param startsInFlight the maximum number of concurrent starts
+	 * @param loadsPerSecond the rate limit of weight loads
+	 * @param loadBurst the maximum burst of weight loads
 	 */
 	public record Pace(
 			@SettingsKey(meaning = "how long the data center's lease lasts without a renewal",
 					defaultValue = "15s") Duration lease,
 			@SettingsKey(meaning = "the time between lists of the VMs that were bought",
 					defaultValue = "5s") Duration listInterval,
-			@SettingsKey(meaning = "the time between reads of what an engine holds, and between repeats of an order",
+			@SettingsKey(meaning = "the time between reads of an engine's state, and between repeats of an order",
 					defaultValue = "5s") Duration orderInterval,
-			@SettingsKey(meaning = "the mean wait after a first refused start; it doubles up to 16 times",
+			@SettingsKey(meaning = "the mean delay after a first refused start; it doubles up to 16 times",
 					defaultValue = "5s") Duration refusedStart,
 			@SettingsKey(meaning = "how many starts may be unanswered at once", defaultValue = "16") int startsInFlight,
 			@SettingsKey(meaning = "this data center's share of the weight store's rate", unit = "loads a second",
--- a/banyancove-planner/src/main/java/org/banyancove/planner/StatusDocument.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/StatusDocument.java
@@ -12,15 +12,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The state of a planner for operators.
+ * The status page of a planner as JSON.
  *
- * @param process this process
+ * @param process the incarnation of this process
  * @param dataCenter the data center
- * @param fence the fencing number, or {@code null} while it must not act
- * @param surviving the capacity left after the loss of the largest zone
- * @param pricePerHour what the running VMs cost an hour
- * @param enginesAsWanted the engines that hold what they should
- * @param vms the bought VMs that run
+ * @param fence the fencing token, or {@code null} without the lease
+ * @param surviving the capacity that remains after the loss of the largest zone
+ * @param pricePerHour the price of the running VMs per hour
+ * @param enginesAsWanted the number of engines in the desired state
+ * @param vms the running VMs by kind
  */
 record StatusDocument(String process, String dataCenter, @Nullable Long fence, double surviving, double pricePerHour,
 		int enginesAsWanted, List<Vms> vms) {
@@ -34,12 +34,12 @@
 				system.running().entrySet().stream().map(Vms::of).toList());
 	}
 
-	String text() {
+	String toJson() {
 		try {
 			return mapper.writerWithDefaultPrettyPrinter().writeValueAsString(this) + "\n";
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("The status cannot be written", ex);
+			throw new IllegalStateException("Cannot write the status as JSON", ex);
 		}
 	}
 
@@ -48,8 +48,8 @@
 	 *
 	 * @param zone the zone
 	 * @param machineClass the machine class
-	 * @param reclaimable whether they may be reclaimed
-	 * @param count how many run
+	 * @param reclaimable whether the platform may reclaim them
+	 * @param count the number of running VMs
 	 */
 	record Vms(String zone, String machineClass, boolean reclaimable, int count) {
 
--- a/banyancove-planner/src/main/java/org/banyancove/planner/package-info.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The planner daemon: the core's decisions on one thread, and the adapters to the
- * platform and to engines.
+ * The planner daemon: runs the core on an event loop, with adapters to the platform and
+ * to engines.
  */
 @NullMarked
 package org.banyancove.planner;
--- a/banyancove-planner/src/test/java/org/banyancove/planner/PlannerProgramTests.java
+++ b/banyancove-planner/src/test/java/org/banyancove/planner/PlannerProgramTests.java
@@ -28,13 +28,13 @@
 	Path directory;
 
 	@Test
-	void everyKeyIsListedWithItsMeaning() {
+	void printSettingsListsEveryKeyWithItsMeaning() {
 		assertThat(execute("--print-settings")).isEqualTo(ExitCode.SUCCESS);
 		assertThat(text(this.output).lines()).hasSizeGreaterThan(20)
 			.contains("pace.lease  (duration, default 15s)  how long the data center's lease lasts without a renewal");
 	}
 
-	// An operator's mistake is found before the program starts, and named in one line.
+	// An invalid setting is rejected before the program starts, and one line names it.
 	@ParameterizedTest
 	@CsvSource(delimiter = '|', textBlock = """
 			target = 200.0       | target = -1.0       | target must not be negative
@@ -47,21 +47,21 @@
 			name = "gpu-2"       | name = "gpu-1"      | names the class 'gpu-1' twice
 			service = "feed"     | service = ""        | must not be blank
 			""")
-	void aWrongSettingIsNamed(String right, String wrong, String said) throws IOException {
+	void invalidSettingIsReported(String valid, String invalid, String message) throws IOException {
 		String example = Files.readString(EXAMPLE);
-		assertThat(example).contains(right);
-		Path file = Files.writeString(this.directory.resolve("planner.toml"), example.replace(right, wrong));
+		assertThat(example).contains(valid);
+		Path file = Files.writeString(this.directory.resolve("planner.toml"), example.replace(valid, invalid));
 		assertThat(execute("--settings", file.toString(), "--check-settings")).isEqualTo(ExitCode.USAGE);
 		assertThat(text(this.errors).lines()).singleElement()
 			.asString()
 			.startsWith("error: settings_invalid: ")
-			.contains(said);
+			.contains(message);
 	}
 
 	@Test
-	void anAddressInUseEndsTheProgramWithItsOwnCode() throws IOException {
-		try (ServerSocket taken = new ServerSocket(0)) {
-			String example = Files.readString(EXAMPLE).replace(":8081", ":" + taken.getLocalPort());
+	void addressInUseHasItsOwnExitCode() throws IOException {
+		try (ServerSocket occupied = new ServerSocket(0)) {
+			String example = Files.readString(EXAMPLE).replace(":8081", ":" + occupied.getLocalPort());
 			Path file = Files.writeString(this.directory.resolve("planner.toml"), example);
 			assertThat(execute("--settings", file.toString())).isEqualTo(ExitCode.ADDRESS_IN_USE);
 			assertThat(text(this.errors)).startsWith("error: address_in_use: ");
@@ -69,10 +69,10 @@
 	}
 
 	private ExitCode execute(String... arguments) {
-		return new PlannerProgram(print(this.output), print(this.errors)).execute(arguments);
+		return new PlannerProgram(printStream(this.output), printStream(this.errors)).execute(arguments);
 	}
 
-	private static PrintStream print(ByteArrayOutputStream bytes) {
+	private static PrintStream printStream(ByteArrayOutputStream bytes) {
 		return new PrintStream(bytes, true, StandardCharsets.UTF_8);
 	}
 
--- a/banyancove-planner/src/test/java/org/banyancove/planner/package-info.java
+++ b/banyancove-planner/src/test/java/org/banyancove/planner/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the planner's program.
+ * Tests of the planner program.
  */
 @NullMarked
 package org.banyancove.planner;
