--- a/banyancove-burn/src/main/java/org/banyancove/burn/BurnDocument.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/BurnDocument.java
@@ -13,10 +13,11 @@
 import org.banyancove.core.burn.WindowBurn;
 
 /**
- * The report as JSON for programs.
+ * The report as a JSON document.
  *
- * @param at the report's time
- * @param rows the burn by profile and account; the account {@code *} is all together
+ * @param at the time of the report
+ * @param rows the burn rates by profile and account; the account {@code *} stands for the
+ * total of all accounts
  */
 record BurnDocument(String at, List<Row> rows) {
 
--- a/banyancove-burn/src/main/java/org/banyancove/burn/BurnPlot.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/BurnPlot.java
@@ -27,7 +27,7 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * The burn rate of each profile over the three days, as a picture.
+ * Plots the burn rate of each profile over three days.
  */
 final class BurnPlot {
 
@@ -35,12 +35,12 @@
 
 	private static final int HEIGHT = 560;
 
-	private static final int LABEL_SIZE = 11;
+	private static final int AXIS_LABEL_FONT_SIZE = 11;
 
-	private static final Duration STEP = Duration.ofMinutes(10);
+	private static final Duration SAMPLING_INTERVAL = Duration.ofMinutes(10);
 
-	/** A rate of 0 has no place on a logarithmic axis. */
-	private static final double LOWEST_RATE = 0.1;
+	/** A rate of 0 cannot be drawn on a logarithmic axis. */
+	private static final double MINIMUM_RATE = 0.1;
 
 	private BurnPlot() {
 	}
@@ -49,16 +49,16 @@
 		System.setProperty("java.awt.headless", "true");
 		XYChart chart = new XYChartBuilder().width(WIDTH)
 			.height(HEIGHT)
-			.title("Burn rate over 1 h, three days to " + end)
+			.title("Burn rate over 1 h, three days until " + end)
 			.xAxisTitle("time (UTC)")
-			.yAxisTitle("burn rate (1 spends the budget exactly)")
+			.yAxisTitle("burn rate (1 consumes exactly the error budget)")
 			.build();
-		style(chart.getStyler());
+		applyStyle(chart.getStyler());
 		for (BurnKey key : keys) {
-			series(chart, label(key), table.history(key, BurnWindow.ONE_HOUR, STEP));
+			addSeries(chart, label(key), table.history(key, BurnWindow.ONE_HOUR, SAMPLING_INTERVAL));
 		}
 		for (BurnAlarm alarm : BurnAlarm.values()) {
-			threshold(chart, alarm, end);
+			addThreshold(chart, alarm, end);
 		}
 		try {
 			BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
@@ -68,26 +68,26 @@
 		}
 	}
 
-	private static void style(Styler styler) {
+	private static void applyStyle(Styler styler) {
 		styler.setLegendPosition(Styler.LegendPosition.OutsideE);
 		styler.setChartBackgroundColor(Color.WHITE);
-		if (styler instanceof XYStyler lines) {
-			lines.setYAxisLogarithmic(true);
-			lines.setYAxisMin(LOWEST_RATE);
-			lines.setAxisTickLabelsFont(new Font(Font.SANS_SERIF, Font.PLAIN, LABEL_SIZE));
-			lines.setDatePattern("d MMM HH:mm");
-			lines.setTimezone(TimeZone.getTimeZone("UTC"));
-			lines.setPlotGridLinesColor(new Color(225, 225, 225));
+		if (styler instanceof XYStyler xyStyler) {
+			xyStyler.setYAxisLogarithmic(true);
+			xyStyler.setYAxisMin(MINIMUM_RATE);
+			xyStyler.setAxisTickLabelsFont(new Font(Font.SANS_SERIF, Font.PLAIN, AXIS_LABEL_FONT_SIZE));
+			xyStyler.setDatePattern("d MMM HH:mm");
+			xyStyler.setTimezone(TimeZone.getTimeZone("UTC"));
+			xyStyler.setPlotGridLinesColor(new Color(225, 225, 225));
 		}
 	}
 
-	private static void series(XYChart chart, String label, List<BurnPoint> points) {
+	private static void addSeries(XYChart chart, String label, List<BurnPoint> points) {
 		List<Date> times = points.stream().map((point) -> Date.from(point.at())).toList();
-		List<Double> rates = points.stream().map((point) -> Math.max(LOWEST_RATE, point.rate())).toList();
+		List<Double> rates = points.stream().map((point) -> Math.max(MINIMUM_RATE, point.rate())).toList();
 		chart.addSeries(label, times, rates).setMarker(SeriesMarkers.NONE);
 	}
 
-	private static void threshold(XYChart chart, BurnAlarm alarm, Instant end) {
+	private static void addThreshold(XYChart chart, BurnAlarm alarm, Instant end) {
 		List<Date> times = List.of(Date.from(end.minus(BurnWindow.THREE_DAYS.length())), Date.from(end));
 		String label = alarm.name().toLowerCase(Locale.ROOT) + " alarm from " + alarm.rate();
 		XYSeries series = chart.addSeries(label, times, List.of(alarm.rate(), alarm.rate()));
--- a/banyancove-burn/src/main/java/org/banyancove/burn/BurnProgram.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/BurnProgram.java
@@ -18,7 +18,8 @@
 import org.banyancove.program.ExitCode;
 
 /**
- * The report on service-level burn, from recorded traces or snapshots of metrics.
+ * Reports the burn rates of service-level objectives from recorded traces or snapshots of
+ * metrics.
  */
 public final class BurnProgram extends CommandLineProgram<BurnSettings> {
 
@@ -26,8 +27,8 @@
 
 	/**
 	 * Creates the program.
-	 * @param output where the table is printed
-	 * @param errors where the error line is printed
+	 * @param output the stream for the table
+	 * @param errors the stream for the error line
 	 */
 	public BurnProgram(PrintStream output, PrintStream errors) {
 		super("banyancove-burn", BurnSettings.class, output, errors);
@@ -49,13 +50,13 @@
 	@Override
 	protected ExitCode run(BurnSettings settings, JCommander commander) {
 		if (this.options.traces.isEmpty() && this.options.metrics.isEmpty()) {
-			throw new ParameterException("--trace or --metrics is missing");
+			throw new ParameterException("--trace or --metrics must be given");
 		}
 		List<RequestSample> samples = new ArrayList<>();
 		this.options.traces.forEach((file) -> samples.addAll(new TraceReader().read(file)));
 		List<MetricsReader.Increase> increases = new ArrayList<>();
 		this.options.metrics.forEach((file) -> increases.addAll(new MetricsReader().read(file)));
-		Instant end = end(samples, increases);
+		Instant end = endTime(samples, increases);
 		BurnTable table = new BurnTable(end, settings::objective);
 		samples.forEach(table::add);
 		increases.forEach((increase) -> add(table, increase));
@@ -65,18 +66,18 @@
 
 	private void report(BurnTable table, Instant end) {
 		List<BurnRow> rows = table.rows();
-		output().println("Service-level burn at " + end);
-		output().println(BurnText.table(rows));
+		output().println("Service-level burn rates at " + end);
+		output().println(BurnTableFormatter.format(rows));
 		if (this.options.json != null) {
 			BurnDocument.of(end, rows).write(this.options.json);
 		}
 		if (this.options.plot != null) {
-			List<BurnKey> profiles = rows.stream().map(BurnRow::key).filter((key) -> key.account() == null).toList();
-			BurnPlot.write(table, profiles, end, this.options.plot);
+			List<BurnKey> profileKeys = rows.stream().map(BurnRow::key).filter((key) -> key.account() == null).toList();
+			BurnPlot.write(table, profileKeys, end, this.options.plot);
 		}
 	}
 
-	private Instant end(List<RequestSample> samples, List<MetricsReader.Increase> increases) {
+	private Instant endTime(List<RequestSample> samples, List<MetricsReader.Increase> increases) {
 		if (this.options.at != null) {
 			try {
 				return Instant.parse(this.options.at);
@@ -88,7 +89,7 @@
 		return Stream
 			.concat(samples.stream().map(RequestSample::at), increases.stream().map(MetricsReader.Increase::at))
 			.max(Comparator.naturalOrder())
-			.orElseThrow(() -> new ParameterException("the files hold no request"));
+			.orElseThrow(() -> new ParameterException("the files contain no requests"));
 	}
 
 	private static void add(BurnTable table, MetricsReader.Increase increase) {
--- a/banyancove-burn/src/main/java/org/banyancove/burn/BurnSettings.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/BurnSettings.java
@@ -8,13 +8,14 @@
 /**
  * The settings of the report.
  *
- * @param defaultObjective the objective of profiles without one of their own
- * @param objectives the objectives by profile, as they are published
+ * @param defaultObjective the objective of profiles without an entry in
+ * {@code objectives}
+ * @param objectives the published objectives by profile
  */
-record BurnSettings(
-		@SettingsKey(meaning = "The share of requests that should meet the targets, for profiles not named below",
-				unit = "above 0 and below 1", defaultValue = "0.95") double defaultObjective,
-		@SettingsKey(meaning = "The objectives by profile, as they are published", unit = "above 0 and below 1",
+record BurnSettings(@SettingsKey(
+		meaning = "The share of requests that should meet the targets, for profiles without an entry in objectives",
+		unit = "above 0 and below 1", defaultValue = "0.95") double defaultObjective,
+		@SettingsKey(meaning = "The published objectives by profile", unit = "above 0 and below 1",
 				defaultValue = "{}") Map<String, Double> objectives) {
 
 	BurnSettings {
--- a/banyancove-burn/src/main/java/org/banyancove/burn/BurnText.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/BurnTableFormatter.java
@@ -10,14 +10,14 @@
 import org.banyancove.core.burn.WindowBurn;
 
 /**
- * The report as a table for people.
+ * Formats the report as a text table.
  */
-final class BurnText {
+final class BurnTableFormatter {
 
-	private BurnText() {
+	private BurnTableFormatter() {
 	}
 
-	static String table(List<BurnRow> rows) {
+	static String format(List<BurnRow> rows) {
 		StringBuilder text = new StringBuilder();
 		text.append("%-20s %-20s %9s %8s".formatted("profile", "account", "objective", "requests"));
 		for (BurnWindow window : BurnWindow.values()) {
@@ -28,14 +28,14 @@
 			text.append(line(row));
 		}
 		text.append(
-				"x5m to x3d: burn rate over the window, 1 spends the budget exactly; spent 3d: share of the budget.");
+				"x5m to x3d: burn rate over the window, 1 consumes exactly the error budget; spent 3d: share of it.");
 		return text.toString();
 	}
 
 	/**
-	 * Names a row's alarms.
+	 * Formats a row's alarms.
 	 * @param row the row
-	 * @return the names, or a dash
+	 * @return the names, separated by commas, or a dash if there is none
 	 */
 	static String alarms(BurnRow row) {
 		if (row.alarms().isEmpty()) {
@@ -51,13 +51,13 @@
 	}
 
 	private static String line(BurnRow row) {
-		WindowBurn period = row.over(BurnWindow.THREE_DAYS);
+		WindowBurn budgetPeriod = row.over(BurnWindow.THREE_DAYS);
 		StringBuilder text = new StringBuilder("%-20s %-20s %9s %8d".formatted(row.key().profile(),
-				row.key().accountLabel(), row.objective(), period.total()));
+				row.key().accountLabel(), row.objective(), budgetPeriod.total()));
 		for (WindowBurn burn : row.windows()) {
 			text.append(" %8.2f".formatted(burn.rate()));
 		}
-		return text.append(" %8.1f%%  %s%n".formatted(100 * period.budgetSpent(), alarms(row))).toString();
+		return text.append(" %8.1f%%  %s%n".formatted(100 * budgetPeriod.budgetSpent(), alarms(row))).toString();
 	}
 
 }
--- a/banyancove-burn/src/main/java/org/banyancove/burn/MetricsReader.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/MetricsReader.java
@@ -19,55 +19,55 @@
 import org.banyancove.program.ObjectiveMetrics;
 
 /**
- * Reads snapshots of an entry's metrics: what {@code /metrics} gave, each snapshot after
- * a line {@code # at 2026-01-01T00:00:00Z}, in order of time, one file for each entry.
+ * Reads snapshots of an entry's metrics: responses of {@code /metrics}, each after a line
+ * {@code # at 2026-01-01T00:00:00Z}, in chronological order, one file for each entry.
  * <p>
  * The counter is {@value ObjectiveMetrics#COUNTER} with the labels {@code profile},
- * {@code account} and {@code met}. A counter that has fallen belongs to a process that
- * has started anew.
+ * {@code account} and {@code met}. A counter that has decreased was reset by a restart of
+ * the process.
  */
 final class MetricsReader {
 
-	private static final Pattern AT = Pattern.compile("# at (\\S+)");
+	private static final Pattern TIME_LINE = Pattern.compile("# at (\\S+)");
 
-	private static final Pattern LINE = Pattern.compile(ObjectiveMetrics.COUNTER + "\\{([^}]*)} (\\S+)");
+	private static final Pattern COUNTER_LINE = Pattern.compile(ObjectiveMetrics.COUNTER + "\\{([^}]*)} (\\S+)");
 
 	private static final Pattern LABEL = Pattern.compile("(\\w+)=\"([^\"]*)\"");
 
 	/**
 	 * Reads the snapshots of one entry.
 	 * @param file the file
-	 * @return the requests counted between each two snapshots
+	 * @return the increases of the counters between consecutive snapshots
 	 * @throws BanyancoveException of kind {@link ErrorKind#SETTINGS_INVALID} if the file
-	 * cannot be read, naming the line
+	 * cannot be read; the message contains the invalid line
 	 */
 	List<Increase> read(Path file) {
 		List<Increase> increases = new ArrayList<>();
-		Map<Series, Double> before = new HashMap<>();
+		Map<Series, Double> previousValues = new HashMap<>();
 		Instant at = Instant.MIN;
-		boolean first = true;
-		for (String line : lines(file)) {
-			Matcher time = AT.matcher(line);
-			Matcher counter = LINE.matcher(line);
+		boolean firstSnapshot = true;
+		for (String line : readLines(file)) {
+			Matcher time = TIME_LINE.matcher(line);
+			Matcher counter = COUNTER_LINE.matcher(line);
 			if (time.matches()) {
-				first = at.equals(Instant.MIN);
-				at = instant(file, line, time.group(1));
+				firstSnapshot = at.equals(Instant.MIN);
+				at = parseTime(file, line, time.group(1));
 			}
 			else if (counter.matches()) {
-				Series series = series(file, line, counter.group(1));
+				Series series = parseSeries(file, line, counter.group(1));
 				double value = Double.parseDouble(counter.group(2));
-				double last = before.getOrDefault(series, 0.0);
-				before.put(series, value);
-				// What was counted before the first snapshot has no time of its own.
-				if (!first && value != last) {
-					increases.add(new Increase(at, series, Math.round((value < last) ? value : value - last)));
+				double previous = previousValues.getOrDefault(series, 0.0);
+				previousValues.put(series, value);
+				// The time of requests counted before the first snapshot is unknown.
+				if (!firstSnapshot && value != previous) {
+					increases.add(new Increase(at, series, Math.round((value < previous) ? value : value - previous)));
 				}
 			}
 		}
 		return increases;
 	}
 
-	private static List<String> lines(Path file) {
+	private static List<String> readLines(Path file) {
 		try {
 			return Files.readAllLines(file);
 		}
@@ -76,16 +76,16 @@
 		}
 	}
 
-	private static Instant instant(Path file, String line, String text) {
+	private static Instant parseTime(Path file, String line, String text) {
 		try {
 			return Instant.parse(text);
 		}
 		catch (DateTimeException ex) {
-			throw new BanyancoveException(ErrorKind.SETTINGS_INVALID, file + ": not a time: " + line, ex);
+			throw new BanyancoveException(ErrorKind.SETTINGS_INVALID, file + ": invalid time: " + line, ex);
 		}
 	}
 
-	private static Series series(Path file, String line, String labels) {
+	private static Series parseSeries(Path file, String line, String labels) {
 		Map<String, String> values = new HashMap<>();
 		Matcher matcher = LABEL.matcher(labels);
 		while (matcher.find()) {
@@ -102,22 +102,22 @@
 	}
 
 	/**
-	 * One counter.
+	 * A time series of the counter.
 	 *
 	 * @param profile the profile
 	 * @param account the account
-	 * @param met whether it counts requests that met the targets
+	 * @param met whether it counts the requests that met the targets
 	 */
 	record Series(ProfileName profile, AccountName account, boolean met) {
 
 	}
 
 	/**
-	 * Requests counted between two snapshots.
+	 * The increase of a counter between two snapshots.
 	 *
 	 * @param at the time of the later snapshot
-	 * @param series the counter
-	 * @param requests how many
+	 * @param series the time series
+	 * @param requests the number of requests
 	 */
 	record Increase(Instant at, Series series, long requests) {
 
--- a/banyancove-burn/src/main/java/org/banyancove/burn/TraceReader.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/TraceReader.java
@@ -13,7 +13,7 @@
 import org.banyancove.program.RequestSampleJson;
 
 /**
- * Reads a recorded trace: one request a line, as JSON.
+ * Reads a recorded trace with one JSON object per request and line.
  */
 final class TraceReader {
 
@@ -24,16 +24,16 @@
 	 * @param file the file
 	 * @return the requests, in the order of the file
 	 * @throws BanyancoveException of kind {@link ErrorKind#SETTINGS_INVALID} if the file
-	 * cannot be read, naming the line
+	 * cannot be read; the message contains the number of the invalid line
 	 */
 	List<RequestSample> read(Path file) {
 		List<RequestSample> samples = new ArrayList<>();
 		try (BufferedReader reader = Files.newBufferedReader(file)) {
-			int number = 0;
+			int lineNumber = 0;
 			for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-				number++;
+				lineNumber++;
 				if (!line.isBlank()) {
-					samples.add(sample(file, number, line));
+					samples.add(parse(file, lineNumber, line));
 				}
 			}
 		}
@@ -43,13 +43,13 @@
 		return samples;
 	}
 
-	private RequestSample sample(Path file, int number, String line) {
+	private RequestSample parse(Path file, int lineNumber, String line) {
 		try {
 			return this.json.read(line);
 		}
 		catch (IllegalArgumentException ex) {
 			throw new BanyancoveException(ErrorKind.SETTINGS_INVALID,
-					file + ": line " + number + " is " + ex.getMessage(), ex);
+					file + ": line " + lineNumber + " is " + ex.getMessage(), ex);
 		}
 	}
 
--- a/banyancove-burn/src/main/java/org/banyancove/burn/package-info.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The report on service-level burn.
+ * Reports the burn rates of service-level objectives.
  */
 @NullMarked
 package org.banyancove.burn;
--- a/banyancove-burn/src/test/java/org/banyancove/burn/BurnProgramTests.java
+++ b/banyancove-burn/src/test/java/org/banyancove/burn/BurnProgramTests.java
@@ -34,11 +34,11 @@
 
 	private String errors = "";
 
-	// Dawn plans are late from one hour before the report on, for one large account
-	// most of all, while stock answers are well. The report must name the profile and
-	// its alarm and leave the other one quiet.
+	// In the last hour before the report, one profile misses its target, mostly for one
+	// large account, while another profile meets its target. Only the first profile must
+	// have an alarm.
 	@Test
-	void aTraceGivesTableJsonAndPicture() throws IOException {
+	void reportsATraceAsTableJsonAndPlot() throws IOException {
 		Path trace = write("trace.jsonl", trace());
 		Path settings = write("burn.toml", "[objectives]\ndawn-plans = 0.95\nday-answers = 0.9\n");
 		Path json = this.directory.resolve("burn.json");
@@ -56,10 +56,10 @@
 		assertThat(ImageIO.read(plot.toFile()).getWidth()).isGreaterThan(500);
 	}
 
-	// An entry is replaced between two snapshots, so its counters fall to nearly nothing.
-	// Requests counted before the first snapshot are not this report's.
+	// An entry restarts between two snapshots, which resets its counters. Requests
+	// counted before the first snapshot must not be part of the report.
 	@Test
-	void metricsCountTheIncreasesAlsoOverARestart() throws IOException {
+	void countsIncreasesOfMetricsAcrossARestart() throws IOException {
 		Path metrics = write("entry-1.metrics", """
 				# at 2026-01-04T05:57:00Z
 				banyancove_objective_requests_total{account="a",met="true",profile="dawn"} 100.0
@@ -81,7 +81,7 @@
 	}
 
 	@Test
-	void wrongInputIsNamed() throws IOException {
+	void invalidInputIsReported() throws IOException {
 		assertThat(execute()).isEqualTo(ExitCode.USAGE);
 		assertThat(execute("--trace", write("t", "{}\n").toString())).isEqualTo(ExitCode.USAGE);
 		assertThat(this.errors).contains("line 1 is not a recorded request: {}");
@@ -117,13 +117,13 @@
 	}
 
 	private ExitCode execute(String... arguments) {
-		ByteArrayOutputStream printed = new ByteArrayOutputStream();
-		ByteArrayOutputStream failed = new ByteArrayOutputStream();
-		ExitCode code = new BurnProgram(new PrintStream(printed, true, StandardCharsets.UTF_8),
-				new PrintStream(failed, true, StandardCharsets.UTF_8))
+		ByteArrayOutputStream outputBytes = new ByteArrayOutputStream();
+		ByteArrayOutputStream errorBytes = new ByteArrayOutputStream();
+		ExitCode code = new BurnProgram(new PrintStream(outputBytes, true, StandardCharsets.UTF_8),
+				new PrintStream(errorBytes, true, StandardCharsets.UTF_8))
 			.execute(arguments);
-		this.output = printed.toString(StandardCharsets.UTF_8);
-		this.errors = failed.toString(StandardCharsets.UTF_8);
+		this.output = outputBytes.toString(StandardCharsets.UTF_8);
+		this.errors = errorBytes.toString(StandardCharsets.UTF_8);
 		return code;
 	}
 
--- a/banyancove-burn/src/test/java/org/banyancove/burn/package-info.java
+++ b/banyancove-burn/src/test/java/org/banyancove/burn/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the report on service-level burn.
+ * Tests of the report on burn rates.
  */
 @NullMarked
 package org.banyancove.burn;
