--- a/banyancove-operate/src/main/java/org/banyancove/operate/Commands.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/Commands.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The commands and their options.
+ * Defines the commands and their options.
  */
 final class Commands {
 
@@ -32,20 +32,21 @@
 	}
 
 	/**
-	 * Options before the command.
+	 * The options of all commands, given before the command.
 	 */
-	static final class Common {
+	static final class GlobalOptions {
 
 		@Parameter(names = "--platform", converter = URIConverter.class,
-				description = "The platform's address, in place of the settings' one")
+				description = "The platform's address; overrides the settings")
 		@Nullable URI platform;
 
 	}
 
 	/**
-	 * Publishes a file.
+	 * Publishes the profiles and services of a file.
 	 */
-	@Parameters(commandDescription = "Publish the profiles and services of a TOML file that differ from those in force")
+	@Parameters(
+			commandDescription = "Publish the profiles and services of a TOML file that differ from the published ones")
 	static final class Publish {
 
 		@Parameter(description = "<file>", required = true, converter = PathConverter.class)
@@ -55,9 +56,9 @@
 	}
 
 	/**
-	 * Changes one object.
+	 * Changes one profile or service.
 	 */
-	@Parameters(commandDescription = "Change one profile or service, only if it still has the expected revision")
+	@Parameters(commandDescription = "Change one profile or service if its current revision is the expected one")
 	static final class Change {
 
 		@Parameter(description = "<file with one profile or one service>", required = true,
@@ -66,23 +67,23 @@
 		Path file;
 
 		@Parameter(names = "--expected-revision", required = true,
-				description = "The revision that the change was made from, -1 to create")
+				description = "The revision that the change is based on, -1 to create")
 		long expectedRevision;
 
 	}
 
 	/**
-	 * Lists all objects.
+	 * Lists all profiles and services.
 	 */
-	@Parameters(commandDescription = "List the profiles and services in force with their revisions")
+	@Parameters(commandDescription = "List the published profiles and services with their revisions")
 	static final class ListAll {
 
 	}
 
 	/**
-	 * Shows one object.
+	 * Shows the profile and the service of a name.
 	 */
-	@Parameters(commandDescription = "Show the profile and the service of a name as a TOML file")
+	@Parameters(commandDescription = "Show the profile and the service with a name as a TOML file")
 	static final class Show {
 
 		@Parameter(description = "<name>", required = true)
@@ -94,23 +95,22 @@
 	/**
 	 * Retires a service.
 	 */
-	@Parameters(commandDescription = "Retire a service: new work is refused, accepted work finishes")
+	@Parameters(commandDescription = "Retire a service: new requests are rejected, accepted requests complete")
 	static final class Retire {
 
 		@Parameter(description = "<service>", required = true)
 		@SuppressWarnings("NullAway.Init")
 		String service;
 
-		@Parameter(names = "--expected-revision",
-				description = "The revision that must still be in force; the present one by default")
+		@Parameter(names = "--expected-revision", description = "The expected revision; the current one by default")
 		@Nullable Long expectedRevision;
 
 	}
 
 	/**
-	 * Asks an entry process for its status.
+	 * Prints the status of an entry process.
 	 */
-	@Parameters(commandDescription = "Print what an entry process says of itself and its data center")
+	@Parameters(commandDescription = "Print the status of an entry process and its data center")
 	static final class Status {
 
 		@Parameter(names = "--entry", required = true, converter = URIConverter.class,
@@ -121,7 +121,7 @@
 	}
 
 	/**
-	 * Lists the keys of a profiles file.
+	 * Lists the keys of a file for {@code publish}.
 	 */
 	@Parameters(commandDescription = "List the keys of a file for publish with type, unit, default and meaning")
 	static final class Keys {
--- a/banyancove-operate/src/main/java/org/banyancove/operate/OperateProgram.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/OperateProgram.java
@@ -38,8 +38,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The operators' command: publish, change, list, show and retire on the platform's log,
- * and an entry's status.
+ * Command-line program for operators: publishes, changes, lists, shows and retires
+ * profiles and services on the platform's log, and prints the status of an entry.
  */
 public final class OperateProgram extends CommandLineProgram<OperateSettings> {
 
@@ -47,7 +47,7 @@
 
 	private final SettingsReader reader = new SettingsReader();
 
-	private final Commands.Common common = new Commands.Common();
+	private final Commands.GlobalOptions globalOptions = new Commands.GlobalOptions();
 
 	private final Commands.Publish publish = new Commands.Publish();
 
@@ -61,8 +61,8 @@
 
 	/**
 	 * Creates the program.
-	 * @param output where results are printed
-	 * @param errors where the error line is printed
+	 * @param output the stream for results
+	 * @param errors the stream for the error line
 	 */
 	public OperateProgram(PrintStream output, PrintStream errors) {
 		super("banyancove-operate", OperateSettings.class, output, errors);
@@ -78,7 +78,7 @@
 
 	@Override
 	protected void configure(JCommander commander) {
-		commander.addObject(this.common);
+		commander.addObject(this.globalOptions);
 		commander.addCommand(Commands.PUBLISH, this.publish);
 		commander.addCommand(Commands.CHANGE, this.change);
 		commander.addCommand(Commands.LIST, new Commands.ListAll());
@@ -92,7 +92,7 @@
 	protected ExitCode run(OperateSettings settings, JCommander commander) throws Exception {
 		String command = commander.getParsedCommand();
 		if (command == null) {
-			throw new ParameterException("a command is missing");
+			throw new ParameterException("no command is given");
 		}
 		if (Commands.STATUS.equals(command)) {
 			return status(this.status.entry, settings.callTimeout());
@@ -101,7 +101,7 @@
 			this.reader.describe(ProfilesFile.class).forEach(output()::println);
 			return ExitCode.SUCCESS;
 		}
-		URI platform = (this.common.platform != null) ? this.common.platform : settings.platform();
+		URI platform = (this.globalOptions.platform != null) ? this.globalOptions.platform : settings.platform();
 		try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
 				PlatformConnection connection = new PlatformConnection(platform, settings.callTimeout(), executor)) {
 			ProfileStream stream = new ProfileStream(new LogClient(connection));
@@ -125,48 +125,49 @@
 		ProfileTable table = publisher.read().table();
 		List<ProfileRecord.Change> changes = new ArrayList<>();
 		for (ProfilesFile.ProfileTable entry : file.profiles()) {
-			PublishedProfile present = table.profile(entry.name());
-			if (present == null || !present.profile().equals(entry.profile())) {
-				changes.add(new ProfileRecord.ProfileChanged(newId(), revision(present), entry.profile()));
+			PublishedProfile current = table.profile(entry.name());
+			if (current == null || !current.profile().equals(entry.profile())) {
+				changes.add(new ProfileRecord.ProfileChanged(newRecordId(), revision(current), entry.profile()));
 			}
 		}
 		for (ProfilesFile.ServiceTable entry : file.services()) {
-			PublishedService present = table.service(entry.name());
-			// A file that is published again must not bring a retired service back.
-			if (present != null && present.service().state() == ServiceState.RETIRED) {
-				output().println("left retired service " + entry.name() + "; change brings it back");
+			PublishedService current = table.service(entry.name());
+			// Publishing a file again must not reactivate a retired service.
+			if (current != null && current.service().state() == ServiceState.RETIRED) {
+				output().println("skipped retired service " + entry.name() + "; use change to reactivate it");
 			}
-			else if (present == null || !present.service().equals(entry.service())) {
-				changes.add(new ProfileRecord.ServiceChanged(newId(), revision(present), entry.service()));
+			else if (current == null || !current.service().equals(entry.service())) {
+				changes.add(new ProfileRecord.ServiceChanged(newRecordId(), revision(current), entry.service()));
 			}
 		}
 		return publish(publisher, changes);
 	}
 
-	private ExitCode change(ProfilePublisher publisher, Path path, long expected) throws InterruptedException {
+	private ExitCode change(ProfilePublisher publisher, Path path, long expectedRevision) throws InterruptedException {
 		ProfilesFile file = this.reader.read(path, ProfilesFile.class);
 		if (file.profiles().size() + file.services().size() != 1) {
 			throw new BanyancoveException(ErrorKind.SETTINGS_INVALID,
-					path + ": change takes a file with one profile or one service, this one has "
+					path + ": change expects one profile or one service in the file; profiles and services found: "
 							+ file.profiles().size() + " and " + file.services().size());
 		}
 		publisher.read();
 		if (!file.profiles().isEmpty()) {
 			Profile profile = file.profiles().getFirst().profile();
-			return publish(publisher, List.of(new ProfileRecord.ProfileChanged(newId(), expected, profile)));
+			return publish(publisher,
+					List.of(new ProfileRecord.ProfileChanged(newRecordId(), expectedRevision, profile)));
 		}
 		ServiceDefinition service = file.services().getFirst().service();
-		return publish(publisher, List.of(new ProfileRecord.ServiceChanged(newId(), expected, service)));
+		return publish(publisher, List.of(new ProfileRecord.ServiceChanged(newRecordId(), expectedRevision, service)));
 	}
 
 	private ExitCode retire(ProfilePublisher publisher, ServiceName service) throws InterruptedException {
-		PublishedService present = publisher.read().table().service(service);
-		if (present == null) {
+		PublishedService current = publisher.read().table().service(service);
+		if (current == null) {
 			throw new BanyancoveException(ErrorKind.SERVICE_UNKNOWN, "No service '" + service + "' is published");
 		}
-		Long named = this.retire.expectedRevision;
-		long expected = (named != null) ? named : present.revision();
-		return publish(publisher, List.of(new ProfileRecord.ServiceRetired(newId(), expected, service)));
+		Long givenRevision = this.retire.expectedRevision;
+		long expectedRevision = (givenRevision != null) ? givenRevision : current.revision();
+		return publish(publisher, List.of(new ProfileRecord.ServiceRetired(newRecordId(), expectedRevision, service)));
 	}
 
 	private ExitCode publish(ProfilePublisher publisher, List<ProfileRecord.Change> changes)
@@ -190,7 +191,7 @@
 		}
 		if (code != ExitCode.SUCCESS) {
 			throw new BanyancoveException(ErrorKind.REVISION_CONFLICT,
-					"A change was made from a revision that is no longer the newest, or names a profile that is not"
+					"A change is based on a revision that is no longer the latest, or names a profile that is not"
 							+ " published; see list");
 		}
 		return code;
@@ -216,10 +217,10 @@
 					"No profile or service '" + name + "' is published");
 		}
 		if (profile != null) {
-			output().println(ProfilesText.toml(profile));
+			output().println(ProfileTomlFormatter.format(profile));
 		}
 		if (service != null) {
-			output().println(ProfilesText.toml(service));
+			output().println(ProfileTomlFormatter.format(service));
 		}
 		return ExitCode.SUCCESS;
 	}
@@ -232,7 +233,7 @@
 			return (response.statusCode() == 200) ? ExitCode.SUCCESS : ExitCode.FAILURE;
 		}
 		catch (IOException ex) {
-			throw new BanyancoveException(ErrorKind.INTERNAL, "The entry at " + entry + " does not answer: " + ex, ex);
+			throw new BanyancoveException(ErrorKind.INTERNAL, "The entry at " + entry + " does not respond: " + ex, ex);
 		}
 	}
 
@@ -244,15 +245,15 @@
 		};
 	}
 
-	private static long revision(@Nullable PublishedProfile present) {
-		return (present != null) ? present.revision() : ProfileTable.NO_REVISION;
+	private static long revision(@Nullable PublishedProfile current) {
+		return (current != null) ? current.revision() : ProfileTable.NO_REVISION;
 	}
 
-	private static long revision(@Nullable PublishedService present) {
-		return (present != null) ? present.revision() : ProfileTable.NO_REVISION;
+	private static long revision(@Nullable PublishedService current) {
+		return (current != null) ? current.revision() : ProfileTable.NO_REVISION;
 	}
 
-	private static String newId() {
+	private static String newRecordId() {
 		return UUID.randomUUID().toString();
 	}
 
--- a/banyancove-operate/src/main/java/org/banyancove/operate/OperateSettings.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/OperateSettings.java
@@ -6,17 +6,16 @@
 import org.banyancove.program.SettingsKey;
 
 /**
- * The settings of the operators' command.
+ * The settings of the command-line program for operators.
  *
  * @param platform the platform's address
- * @param callTimeout the longest time of one call to the platform
- * @param patience how long the command goes on while the platform does not answer
+ * @param callTimeout the timeout of one call to the platform
+ * @param patience how long the command retries while the platform does not respond
  */
 record OperateSettings(
 		@SettingsKey(meaning = "The platform's address", defaultValue = "http://127.0.0.1:7000") URI platform,
-		@SettingsKey(meaning = "The longest time of one call to the platform",
-				defaultValue = "3s") Duration callTimeout,
-		@SettingsKey(meaning = "How long the command goes on while the platform does not answer",
+		@SettingsKey(meaning = "The timeout of one call to the platform", defaultValue = "3s") Duration callTimeout,
+		@SettingsKey(meaning = "How long the command retries while the platform does not respond",
 				defaultValue = "60s") Duration patience) {
 
 	OperateSettings {
--- a/banyancove-operate/src/main/java/org/banyancove/operate/ProfilePublisher.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/ProfilePublisher.java
@@ -16,17 +16,17 @@
 import org.banyancove.platform.profile.ProfileStream;
 
 /**
- * Publishes changes and reads back what became of them. Used by one thread.
+ * Publishes changes and reads their outcome from the stream. Not thread-safe.
  * <p>
- * The answer to an append can be lost after the append took effect, or the append can
- * take effect minutes later. An operator who is then told "failed" would publish again,
- * perhaps over a colleague's change. So only the stream is believed: each change carries
- * its own record identifier, is appended again under it as long as the stream does not
- * show it, and counts once however many copies there are.
+ * The response to an append can be lost after the append took effect, or the append can
+ * take effect minutes later. An operator who gets an error in that case would publish
+ * again, perhaps over a colleague's change. The stream is therefore the only source of
+ * truth: each change carries a record identifier, the append is retried under the same
+ * identifier until the stream contains it, and duplicates of the record are ignored.
  */
 final class ProfilePublisher {
 
-	private static final Duration PAUSE = Duration.ofMillis(200);
+	private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
 	private final ProfileStream stream;
 
@@ -43,67 +43,67 @@
 	}
 
 	/**
-	 * Reads the stream to its present end.
-	 * @return the view
+	 * Reads the stream to its current end, with retries.
+	 * @return the view of the published profiles and services
 	 * @throws BanyancoveException of kind {@link ErrorKind#PLATFORM_UNREACHABLE} if the
-	 * platform does not answer for as long as the patience lasts, or the log holds no
-	 * complete view
+	 * platform does not respond until the patience expires, or the log has been trimmed
+	 * and contains no checkpoint
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	ProfileView read() throws InterruptedException {
-		Instant end = this.clock.instant().plus(this.patience);
+		Instant deadline = this.clock.instant().plus(this.patience);
 		while (true) {
 			try {
-				readOnce();
+				readToEnd();
 				break;
 			}
 			catch (CompletionException ex) {
-				pauseOrFail(end, PAUSE, String.valueOf(ex.getCause()));
+				sleepOrFail(deadline, RETRY_DELAY, String.valueOf(ex.getCause()));
 			}
 		}
 		if (this.view.hasGap()) {
 			throw new BanyancoveException(ErrorKind.PLATFORM_UNREACHABLE,
-					"The log no longer holds the first profiles and no checkpoint stands in it yet;"
+					"The log no longer contains the first records and has no checkpoint yet;"
 							+ " an entry process appends one");
 		}
 		return this.view;
 	}
 
 	/**
-	 * Appends changes and reads the stream past them.
+	 * Appends changes and reads the stream until each of them is decided.
 	 * @param changes the changes, in order
-	 * @return what became of each, in the same order
+	 * @return the decisions, in the same order
 	 * @throws BanyancoveException of kind {@link ErrorKind#PLATFORM_UNREACHABLE} if the
-	 * outcome is not known when the patience ends
+	 * outcome is unknown when the patience expires
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	List<DecidedChange> publish(List<? extends ProfileRecord.Change> changes) throws InterruptedException {
-		Instant end = this.clock.instant().plus(this.patience);
+		Instant deadline = this.clock.instant().plus(this.patience);
 		while (true) {
 			AppendResult result = this.stream.append(changes).join();
 			if (!(result instanceof AppendResult.Refused)) {
 				read();
 			}
-			List<DecidedChange> decisions = decisions(changes);
+			List<DecidedChange> decisions = findDecisions(changes);
 			if (decisions.size() == changes.size()) {
 				return decisions;
 			}
-			pauseOrFail(end, (result instanceof AppendResult.Refused refused) ? refused.retryAfter() : PAUSE,
-					"The outcome is unknown: " + result + "; the records, if they come, are "
+			sleepOrFail(deadline, (result instanceof AppendResult.Refused refused) ? refused.retryAfter() : RETRY_DELAY,
+					"The outcome is unknown: " + result + "; the records that may still be appended are "
 							+ changes.stream().map(ProfileRecord.Change::recordId).toList());
 		}
 	}
 
-	private List<DecidedChange> decisions(List<? extends ProfileRecord.Change> changes) {
-		return changes.stream().<DecidedChange>mapMulti((change, found) -> {
+	private List<DecidedChange> findDecisions(List<? extends ProfileRecord.Change> changes) {
+		return changes.stream().<DecidedChange>mapMulti((change, downstream) -> {
 			DecidedChange decision = this.view.table().decision(change.recordId());
 			if (decision != null) {
-				found.accept(decision);
+				downstream.accept(decision);
 			}
 		}).toList();
 	}
 
-	private void readOnce() {
+	private void readToEnd() {
 		ProfilePage page;
 		do {
 			page = this.stream.read(this.view.nextOffset(), Duration.ZERO).join();
@@ -112,11 +112,11 @@
 		while (this.view.nextOffset() < page.endOffset());
 	}
 
-	private void pauseOrFail(Instant end, Duration pause, String reason) throws InterruptedException {
-		if (this.clock.instant().plus(pause).isAfter(end)) {
+	private void sleepOrFail(Instant deadline, Duration delay, String reason) throws InterruptedException {
+		if (this.clock.instant().plus(delay).isAfter(deadline)) {
 			throw new BanyancoveException(ErrorKind.PLATFORM_UNREACHABLE, reason);
 		}
-		Thread.sleep(pause);
+		Thread.sleep(delay);
 	}
 
 }
--- a/banyancove-operate/src/main/java/org/banyancove/operate/ProfilesText.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/ProfileTomlFormatter.java
@@ -10,14 +10,14 @@
 import org.banyancove.program.DurationText;
 
 /**
- * Writes profiles and services as a file that {@code publish} and {@code change} read.
+ * Formats profiles and services as TOML that {@code publish} and {@code change} read.
  */
-final class ProfilesText {
+final class ProfileTomlFormatter {
 
-	private ProfilesText() {
+	private ProfileTomlFormatter() {
 	}
 
-	static String toml(PublishedProfile published) {
+	static String format(PublishedProfile published) {
 		Profile profile = published.profile();
 		return """
 				# revision %d
@@ -39,7 +39,7 @@
 				profile.keyRequired(), profile.maximumBodyBytes());
 	}
 
-	static String toml(PublishedService published) {
+	static String format(PublishedService published) {
 		ServiceDefinition service = published.service();
 		StringJoiner methods = new StringJoiner("\", \"", "[\"", "\"]").setEmptyValue("[]");
 		service.repeatableMethods().stream().sorted().forEach(methods::add);
--- a/banyancove-operate/src/main/java/org/banyancove/operate/ProfilesFile.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/ProfilesFile.java
@@ -14,7 +14,7 @@
 import org.banyancove.program.SettingsKey;
 
 /**
- * A file of profiles and services, as operators write it.
+ * The TOML file of profiles and services that operators write.
  *
  * @param profiles the profiles
  * @param services the services
@@ -23,17 +23,17 @@
 		@SettingsKey(meaning = "The services", defaultValue = "[]") List<ServiceTable> services) {
 
 	/**
-	 * A profile in the file.
+	 * A profile in the file. The components are those of {@link Profile}.
 	 *
-	 * @param name see {@link Profile}, as are all others
+	 * @param name the profile's name
 	 */
 	record ProfileTable(@SettingsKey(meaning = "The profile's name") ProfileName name, @SettingsKey(
-			meaning = "Time to the first token, or to a plain service's answer, to be met") Duration firstTokenTarget,
-			@SettingsKey(meaning = "Time between tokens to be met", defaultValue = "41ms") Duration tokenTarget,
-			@SettingsKey(meaning = "Time after which an answer is of no use") Duration deadline,
+			meaning = "Target time to the first token, or to a plain service's response") Duration firstTokenTarget,
+			@SettingsKey(meaning = "Target for the time between tokens", defaultValue = "41ms") Duration tokenTarget,
+			@SettingsKey(meaning = "Time after which a response is no longer useful") Duration deadline,
 			@SettingsKey(meaning = "Share of requests that should meet the targets", unit = "above 0 and below 1",
 					defaultValue = "0.95") double objective,
-			@SettingsKey(meaning = "Priority at engines, 0 the most urgent", unit = "0 to 9",
+			@SettingsKey(meaning = "Priority at engines, 0 is the highest", unit = "0 to 9",
 					defaultValue = "5") int priority,
 			@SettingsKey(meaning = "Placement policy", defaultValue = "cost_at_target") PlacementPolicyName policy,
 			@SettingsKey(meaning = "Retries allowed for each first attempt", unit = "0 to 1",
@@ -42,12 +42,12 @@
 					unit = "above 0, at most 1", defaultValue = "0.5") double accountShare,
 			@SettingsKey(meaning = "Whether a call that may not be repeated must carry an idempotency key",
 					defaultValue = "true") boolean keyRequired,
-			@SettingsKey(meaning = "Largest body taken", unit = "bytes",
+			@SettingsKey(meaning = "Largest request body accepted", unit = "bytes",
 					defaultValue = "1048576") int maximumBodyBytes) {
 
 		/**
-		 * Checks the fields by making the profile, so that a wrong one is told with its
-		 * place in the file.
+		 * Creates the table. Validates the components by creating the profile, so that an
+		 * error names the position in the file.
 		 */
 		ProfileTable {
 			new Profile(name, firstTokenTarget, tokenTarget, deadline, objective, priority, policy, retryRatio,
@@ -63,16 +63,16 @@
 	}
 
 	/**
-	 * A service in the file.
+	 * A service in the file. The components are those of {@link ServiceDefinition}.
 	 *
-	 * @param name see {@link ServiceDefinition}, as are all others
+	 * @param name the service's name
 	 */
 	record ServiceTable(@SettingsKey(meaning = "The name by which callers address the service") ServiceName name,
-			@SettingsKey(meaning = "What stands behind it") ServiceKind kind,
-			@SettingsKey(meaning = "The profile it runs under") ProfileName profile,
+			@SettingsKey(meaning = "The kind of service") ServiceKind kind,
+			@SettingsKey(meaning = "The profile of the service") ProfileName profile,
 			@SettingsKey(meaning = "HTTP methods whose calls may be repeated; all others run at most once",
 					defaultValue = "[\"GET\", \"HEAD\", \"OPTIONS\"]") Set<String> repeatableMethods,
-			@SettingsKey(meaning = "Whether its endpoints refuse orders with an old fencing number",
+			@SettingsKey(meaning = "Whether its endpoints reject calls with an outdated fencing token",
 					defaultValue = "false") boolean checksFence) {
 
 		ServiceDefinition service() {
--- a/banyancove-operate/src/main/java/org/banyancove/operate/package-info.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The operators' command line: publish, change, list, show and retire.
+ * Command-line program for operators: publishes, changes, lists, shows and retires
+ * profiles and services, and prints the status of an entry.
  */
 @NullMarked
 package org.banyancove.operate;
--- a/banyancove-operate/src/test/java/org/banyancove/operate/OperateProgramTests.java
+++ b/banyancove-operate/src/test/java/org/banyancove/operate/OperateProgramTests.java
@@ -57,7 +57,7 @@
 	}
 
 	@Test
-	void publishesListsShowsChangesAndRetires() throws IOException {
+	void publishesThenListsShowsChangesAndRetires() throws IOException {
 		assertThat(publish(PROFILE + SERVICE)).isEqualTo(ExitCode.SUCCESS);
 		assertThat(this.output.lines()).containsExactly("accepted 0 profile dawn", "accepted 1 service feed");
 		assertThat(publish(PROFILE + SERVICE)).isEqualTo(ExitCode.SUCCESS);
@@ -74,52 +74,52 @@
 				"repeatable-methods = [\"GET\", \"HEAD\", \"OPTIONS\"]");
 	}
 
-	// A service was retired because its customer left. The next morning a colleague
-	// publishes the file of all services again. The service must stay retired; only a
-	// change that names its revision brings it back.
+	// Publishing the file of all services again must not reactivate a service that was
+	// retired since. Only a change that names its revision reactivates the service.
 	@Test
-	void publishingAFileAgainDoesNotBringARetiredServiceBack() throws IOException {
+	void publishingAFileAgainDoesNotReactivateARetiredService() throws IOException {
 		publish(PROFILE + SERVICE);
 		execute("retire", "feed");
 		assertThat(publish(PROFILE + SERVICE)).isEqualTo(ExitCode.SUCCESS);
-		assertThat(this.output).contains("left retired service feed");
+		assertThat(this.output).contains("skipped retired service feed");
 		assertThat(execute("change", file(SERVICE).toString(), "--expected-revision", "2")).isEqualTo(ExitCode.SUCCESS);
 		assertThat(this.output.lines()).containsExactly("accepted 3 service feed");
 	}
 
-	// The operator's append takes effect and the answer is lost. The command must say
-	// "accepted" with the revision in the stream, and must not append it again.
+	// An append takes effect but its response is lost. The command must report "accepted"
+	// with the revision from the stream, and must not append the record again.
 	@Test
-	void aLostAnswerIsResolvedFromTheStream() throws IOException {
-		this.log.faults(SmallLog.Fault.ANSWER_LOST);
+	void outcomeOfALostResponseIsReadFromTheStream() throws IOException {
+		this.log.injectFaults(SmallLog.Fault.RESPONSE_LOST);
 		assertThat(publish(PROFILE)).isEqualTo(ExitCode.SUCCESS);
 		assertThat(this.output.lines()).containsExactly("accepted 0 profile dawn");
 		assertThat(this.log.size()).isOne();
 	}
 
-	// The append has no answer and does not show in the stream, so the command appends it
-	// again; then both copies take effect. They count once, and the operator reads the
-	// revision of the first.
+	// An append without a response is not yet in the stream, so the command appends the
+	// record again, and then both copies take effect. The second copy must be ignored and
+	// the revision of the first one reported.
 	@Test
-	void anAppendThatTakesEffectLateCountsOnce() throws IOException {
-		this.log.faults(SmallLog.Fault.REFUSED, SmallLog.Fault.APPEND_LATE);
+	void duplicateOfADelayedAppendIsIgnored() throws IOException {
+		this.log.injectFaults(SmallLog.Fault.REJECTED, SmallLog.Fault.APPEND_DELAYED);
 		assertThat(publish(PROFILE)).isEqualTo(ExitCode.SUCCESS);
 		assertThat(this.output.lines()).containsExactly("accepted 0 profile dawn");
 		assertThat(this.log.size()).isEqualTo(2);
 	}
 
-	// A colleague's change of the same profile stands in the stream just before this one.
-	// The log took both; only the fold can tell, and the operator must hear "rejected".
+	// Another operator's change of the same profile precedes this one in the stream. The
+	// log accepts both appends, so only the decision over the stream finds the conflict;
+	// the command must report "rejected".
 	@Test
-	void theSecondOfTwoRacingOperatorsIsTold() throws IOException {
-		this.log.faults(SmallLog.Fault.RACED);
+	void secondOfTwoConcurrentChangesIsRejected() throws IOException {
+		this.log.injectFaults(SmallLog.Fault.CONCURRENT_CHANGE);
 		assertThat(publish(PROFILE)).isEqualTo(ExitCode.REVISION_CONFLICT);
 		assertThat(this.output.lines()).containsExactly("rejected profile dawn made from revision -1");
 		assertThat(this.errors).startsWith("error: revision_conflict: ");
 	}
 
 	@Test
-	void aChangeFromAnOldRevisionIsRefused() throws IOException {
+	void changeBasedOnAnotherRevisionIsRejected() throws IOException {
 		publish(PROFILE);
 		Path file = file(PROFILE + "priority = 1\n");
 		assertThat(execute("change", file.toString(), "--expected-revision", "7"))
@@ -128,10 +128,10 @@
 			.isEqualTo(ExitCode.USAGE);
 	}
 
-	// Retention has trimmed the stream and no checkpoint stands in it. The command must
-	// not take the empty stream for "nothing is published" and create over what is there.
+	// Retention has trimmed the stream and it contains no checkpoint. The command must
+	// not treat the empty stream as "nothing is published" and overwrite profiles.
 	@Test
-	void aTrimmedLogIsNotTakenForAnEmptyOne() throws IOException {
+	void trimmedLogIsNotTreatedAsEmpty() throws IOException {
 		publish(PROFILE);
 		this.log.trimAll();
 		assertThat(publish(PROFILE + "priority = 1\n")).isEqualTo(ExitCode.PLATFORM_UNREACHABLE);
@@ -139,7 +139,7 @@
 	}
 
 	@Test
-	void wrongFilesCommandsAndPlatformsHaveTheirExitCodes() throws IOException {
+	void invalidInputAndUnreachablePlatformHaveTheirExitCodes() throws IOException {
 		assertThat(publish(PROFILE + "objective = 1.5\n")).isEqualTo(ExitCode.USAGE);
 		assertThat(this.errors).contains("profiles[0]", "objective must be above 0 and below 1: 1.5");
 		assertThat(publish(PROFILE + "colour = 1\n")).isEqualTo(ExitCode.USAGE);
@@ -153,7 +153,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "lagon-bleu", "kowhai-lane" })
-	void theExamplesCanBePublished(String user) throws IOException {
+	void examplesCanBePublished(String user) throws IOException {
 		Path example = Path.of("..", "examples", user, "profiles.toml");
 		assertThat(execute("publish", example.toString())).isEqualTo(ExitCode.SUCCESS);
 		assertThat(this.output.lines()).hasSize(5).allMatch((line) -> line.startsWith("accepted "));
@@ -189,13 +189,13 @@
 		arguments[0] = "--settings";
 		arguments[1] = settings.toString();
 		System.arraycopy(command, 0, arguments, 2, command.length);
-		ByteArrayOutputStream printed = new ByteArrayOutputStream();
-		ByteArrayOutputStream failed = new ByteArrayOutputStream();
-		ExitCode code = new OperateProgram(new PrintStream(printed, true, StandardCharsets.UTF_8),
-				new PrintStream(failed, true, StandardCharsets.UTF_8))
+		ByteArrayOutputStream outputBytes = new ByteArrayOutputStream();
+		ByteArrayOutputStream errorBytes = new ByteArrayOutputStream();
+		ExitCode code = new OperateProgram(new PrintStream(outputBytes, true, StandardCharsets.UTF_8),
+				new PrintStream(errorBytes, true, StandardCharsets.UTF_8))
 			.execute(arguments);
-		this.output = printed.toString(StandardCharsets.UTF_8);
-		this.errors = failed.toString(StandardCharsets.UTF_8);
+		this.output = outputBytes.toString(StandardCharsets.UTF_8);
+		this.errors = errorBytes.toString(StandardCharsets.UTF_8);
 		return code;
 	}
 
--- a/banyancove-operate/src/test/java/org/banyancove/operate/SmallLog.java
+++ b/banyancove-operate/src/test/java/org/banyancove/operate/SmallLog.java
@@ -15,7 +15,7 @@
 import com.sun.net.httpserver.HttpServer;
 
 /**
- * A log of one stream over HTTP whose answers can be lost on command.
+ * An HTTP server for a log with one stream that injects faults into appends.
  */
 final class SmallLog implements AutoCloseable {
 
@@ -27,12 +27,12 @@
 
 	private final List<Fault> faults = new ArrayList<>();
 
-	private final List<JsonNode> late = new ArrayList<>();
+	private final List<JsonNode> delayedAppends = new ArrayList<>();
 
 	private int firstRetained;
 
 	SmallLog() throws IOException {
-		this.server.createContext("/", this::serve);
+		this.server.createContext("/", this::handle);
 		this.server.start();
 	}
 
@@ -41,10 +41,10 @@
 	}
 
 	/**
-	 * Lets the next appends meet these faults, one each, in order.
+	 * Injects faults into the next appends, one each, in order.
 	 * @param next the faults
 	 */
-	synchronized void faults(Fault... next) {
+	synchronized void injectFaults(Fault... next) {
 		this.faults.addAll(List.of(next));
 	}
 
@@ -61,57 +61,57 @@
 		this.server.stop(0);
 	}
 
-	private synchronized void serve(HttpExchange exchange) throws IOException {
+	private synchronized void handle(HttpExchange exchange) throws IOException {
 		if (exchange.getRequestMethod().equals("GET")) {
-			answer(exchange, 200, page(exchange.getRequestURI().getQuery()));
+			respond(exchange, 200, page(exchange.getRequestURI().getQuery()));
 			return;
 		}
 		JsonNode body = this.mapper.readTree(exchange.getRequestBody());
 		Fault fault = this.faults.isEmpty() ? Fault.NONE : this.faults.removeFirst();
 		switch (fault) {
-			case NONE -> answer(exchange, 200, append(body));
-			case ANSWER_LOST -> {
+			case NONE -> respond(exchange, 200, append(body));
+			case RESPONSE_LOST -> {
 				append(body);
 				exchange.close();
 			}
-			case APPEND_LATE -> {
-				this.late.add(body);
+			case APPEND_DELAYED -> {
+				this.delayedAppends.add(body);
 				exchange.close();
 			}
-			case REFUSED -> {
+			case REJECTED -> {
 				exchange.getResponseHeaders().set("Retry-After", "0");
-				answer(exchange, 429, this.mapper.createObjectNode());
+				respond(exchange, 429, this.mapper.createObjectNode());
 			}
-			case RACED -> {
-				append(rival(body));
-				answer(exchange, 200, append(body));
+			case CONCURRENT_CHANGE -> {
+				append(concurrentChange(body));
+				respond(exchange, 200, append(body));
 			}
 		}
 	}
 
 	private ObjectNode append(JsonNode body) {
-		List<JsonNode> bodies = new ArrayList<>(this.late);
-		this.late.clear();
+		List<JsonNode> bodies = new ArrayList<>(this.delayedAppends);
+		this.delayedAppends.clear();
 		bodies.add(body);
 		int first = this.records.size();
-		for (JsonNode each : bodies) {
+		for (JsonNode pending : bodies) {
 			first = this.records.size();
-			each.get("records").forEach(this::appendOne);
+			pending.get("records").forEach(this::appendRecord);
 		}
 		return this.mapper.createObjectNode().put("firstOffset", first).put("lastOffset", this.records.size() - 1);
 	}
 
-	private void appendOne(JsonNode record) {
+	private void appendRecord(JsonNode record) {
 		ObjectNode stored = record.deepCopy();
 		this.records.add(stored.put("offset", this.records.size()).put("appendedAt", "2026-01-01T00:00:00Z"));
 	}
 
-	private static JsonNode rival(JsonNode body) {
+	private static JsonNode concurrentChange(JsonNode body) {
 		JsonNode copy = body.deepCopy();
 		copy.get("records").forEach((record) -> {
 			String id = record.get("id").asText();
-			String data = record.get("data").asText().replace(id, "rival-" + id);
-			((ObjectNode) record).put("id", "rival-" + id).put("data", data);
+			String data = record.get("data").asText().replace(id, "concurrent-" + id);
+			((ObjectNode) record).put("id", "concurrent-" + id).put("data", data);
 		});
 		return copy;
 	}
@@ -128,7 +128,7 @@
 		return page;
 	}
 
-	private static void answer(HttpExchange exchange, int status, JsonNode body) throws IOException {
+	private static void respond(HttpExchange exchange, int status, JsonNode body) throws IOException {
 		byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
 		exchange.sendResponseHeaders(status, bytes.length);
 		exchange.getResponseBody().write(bytes);
@@ -136,24 +136,24 @@
 	}
 
 	/**
-	 * What an append meets.
+	 * A fault of an append.
 	 */
 	enum Fault {
 
-		/** The append is answered. */
+		/** The append succeeds. */
 		NONE,
 
-		/** The append takes effect and its answer is lost. */
-		ANSWER_LOST,
+		/** The append takes effect but its response is lost. */
+		RESPONSE_LOST,
 
-		/** The append has no answer and takes effect before the next one. */
-		APPEND_LATE,
+		/** The append gets no response and takes effect just before the next one. */
+		APPEND_DELAYED,
 
-		/** The log refuses the append. */
-		REFUSED,
+		/** The log rejects the append. */
+		REJECTED,
 
-		/** Another operator's change of the same objects stands just before. */
-		RACED
+		/** Another operator's change of the same objects is appended just before. */
+		CONCURRENT_CHANGE
 
 	}
 
--- a/banyancove-operate/src/test/java/org/banyancove/operate/package-info.java
+++ b/banyancove-operate/src/test/java/org/banyancove/operate/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the operators' command over a small log.
+ * Tests of the command-line program for operators.
  */
 @NullMarked
 package org.banyancove.operate;
