--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/EventQueue.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/EventQueue.java
@@ -7,18 +7,19 @@
 import java.util.PriorityQueue;
 
 /**
- * The model's time: runs what was put down for a time, in the order of times.
+ * The event queue of a discrete-event simulation: runs scheduled actions in order of
+ * time.
  */
 final class EventQueue implements InstantSource {
 
 	private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>(
-			Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
+			Comparator.comparingDouble(Event::at).thenComparingLong(Event::sequence));
 
-	private long count;
+	private long eventCount;
 
 	private double now;
 
@@ -32,23 +33,23 @@
 	}
 
 	Instant at(double seconds) {
-		return START.plusNanos(Math.round(seconds * NANOS));
+		return START.plusNanos(Math.round(seconds * NANOS_PER_SECOND));
 	}
 
 	double secondsOf(Instant instant) {
-		return Duration.between(START, instant).toNanos() / NANOS;
+		return Duration.between(START, instant).toNanos() / NANOS_PER_SECOND;
 	}
 
-	void after(double seconds, Runnable action) {
-		this.count++;
-		this.events.add(new Event(this.now + seconds, this.count, action));
+	void scheduleAfter(double seconds, Runnable action) {
+		this.eventCount++;
+		this.events.add(new Event(this.now + seconds, this.eventCount, action));
 	}
 
-	void every(double seconds, double until, Runnable action) {
-		after(seconds, () -> {
+	void scheduleEvery(double seconds, double until, Runnable action) {
+		scheduleAfter(seconds, () -> {
 			action.run();
 			if (this.now + seconds <= until) {
-				every(seconds, until, action);
+				scheduleEvery(seconds, until, action);
 			}
 		});
 	}
@@ -61,7 +62,7 @@
 		}
 	}
 
-	private record Event(double at, long number, Runnable action) {
+	private record Event(double at, long sequence, Runnable action) {
 	}
 
 }
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/ExperimentProgram.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/ExperimentProgram.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.ParameterException;
 
 /**
- * The program that measures the core's decisions.
+ * Entry point of the program that measures the core's decisions.
  */
 public final class ExperimentProgram {
 
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/Fleet.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/Fleet.java
@@ -5,19 +5,19 @@
 import org.banyancove.core.routing.EndpointDefinition;
 
 /**
- * A user's endpoints.
+ * The endpoints of a user.
  *
  * @param engines the model engines
  * @param services the plain services
- * @param waveZone the zone that the reclaim wave takes
+ * @param reclaimedZone the zone whose VMs the reclaim wave reclaims
  */
-record Fleet(List<Engine> engines, List<Service> services, String waveZone) {
+record Fleet(List<Engine> engines, List<Service> services, String reclaimedZone) {
 
 	/**
 	 * A model engine.
 	 *
-	 * @param definition what the platform's list says of it
-	 * @param speed how fast it is
+	 * @param definition its definition in the platform's list
+	 * @param speed its speed and capacity
 	 */
 	record Engine(EndpointDefinition definition, EngineSpeed speed) {
 	}
@@ -25,9 +25,9 @@
 	/**
 	 * A plain service.
 	 *
-	 * @param definition what the platform's list says of it
-	 * @param workers the calls that it runs at a time
-	 * @param speed its speed, 1 for the usual service time
+	 * @param definition its definition in the platform's list
+	 * @param workers the maximum number of concurrent calls
+	 * @param speed its relative speed, 1 for the nominal service time
 	 */
 	record Service(EndpointDefinition definition, int workers, double speed) {
 	}
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/Job.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/Job.java
@@ -6,7 +6,7 @@
 import org.banyancove.core.routing.PromptPrefix;
 
 /**
- * One attempt as an endpoint sees it.
+ * An attempt at an endpoint.
  */
 final class Job {
 
@@ -81,33 +81,33 @@
 	}
 
 	/**
-	 * What happens to an attempt.
+	 * Receives the events of an attempt.
 	 */
 	interface Listener {
 
 		/**
-		 * The prompt is computed and the first token sent.
+		 * Called when the prompt has been prefilled and the first token is sent.
 		 * @param computedTokens the tokens of the prompt that were not in the cache
 		 */
 		void firstToken(int computedTokens);
 
 		/**
-		 * The whole answer was sent.
+		 * Called when the answer is complete.
 		 */
 		void completed();
 
 		/**
-		 * The endpoint is too busy to take the attempt.
+		 * Called when the endpoint refuses the attempt because its queue is full.
 		 */
 		void refused();
 
 		/**
-		 * The endpoint answered with an error.
+		 * Called when the endpoint answers with an error.
 		 */
 		void failed();
 
 		/**
-		 * The endpoint is gone.
+		 * Called when the attempt is lost because the endpoint is not running.
 		 */
 		void lost();
 
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/PromptCache.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/PrefixCache.java
@@ -9,18 +9,18 @@
 import org.banyancove.core.routing.PromptPrefix;
 
 /**
- * An engine's prefix cache: what was used longest ago is evicted when it is full.
+ * An engine's prefix cache with eviction of the least recently used prefix.
  */
-final class PromptCache {
+final class PrefixCache {
 
 	private final Map<Long, Block> blocks = new LinkedHashMap<>(16, 0.75f, true);
 
-	private final long limit;
+	private final long capacityTokens;
 
-	private long used;
+	private long usedTokens;
 
-	PromptCache(long limit) {
-		this.limit = limit;
+	PrefixCache(long capacityTokens) {
+		this.capacityTokens = capacityTokens;
 	}
 
 	int cachedTokens(List<PromptPrefix> prefixes) {
@@ -35,27 +35,27 @@
 	}
 
 	void store(List<PromptPrefix> prefixes, Consumer<PromptPrefix> stored, Consumer<PromptPrefix> evicted) {
-		int before = 0;
+		int previousTokens = 0;
 		for (PromptPrefix prefix : prefixes) {
-			Block block = new Block(prefix, prefix.tokens() - before);
-			before = prefix.tokens();
+			Block block = new Block(prefix, prefix.tokens() - previousTokens);
+			previousTokens = prefix.tokens();
 			if (this.blocks.put(prefix.digest(), block) == null) {
-				this.used += block.tokens();
+				this.usedTokens += block.tokens();
 				stored.accept(prefix);
 			}
 		}
 		Iterator<Block> eldest = this.blocks.values().iterator();
-		while (this.used > this.limit) {
+		while (this.usedTokens > this.capacityTokens) {
 			Block block = eldest.next();
 			eldest.remove();
-			this.used -= block.tokens();
+			this.usedTokens -= block.tokens();
 			evicted.accept(block.prefix());
 		}
 	}
 
 	void clear() {
 		this.blocks.clear();
-		this.used = 0;
+		this.usedTokens = 0;
 	}
 
 	private record Block(PromptPrefix prefix, int tokens) {
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/RequestShape.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/RequestShape.java
@@ -1,20 +1,20 @@
 package org.banyancove.experiment;
 
 /**
- * The mean size of a kind of request.
+ * The mean token counts of a kind of request.
  *
- * @param accountTokens the tokens of the prefix that all of an account's requests share
- * @param documentTokens the tokens of the document, which requests repeat
- * @param ownTokens the tokens that no other request has, on average
- * @param outputTokens the tokens of the answer, on average
+ * @param accountTokens the tokens of the prefix that all requests of an account share
+ * @param documentTokens the tokens of the document, which several requests share
+ * @param uniqueTokens the mean number of prompt tokens that no other request has
+ * @param outputTokens the mean number of tokens of the answer
  */
-record RequestShape(int accountTokens, int documentTokens, int ownTokens, int outputTokens) {
+record RequestShape(int accountTokens, int documentTokens, int uniqueTokens, int outputTokens) {
 
-	/** The part of the repeated prefixes that is counted as computed anew. */
-	private static final double MISSED_SHARE = 0.3;
+	/** The assumed cache miss ratio of shared prefixes. */
+	private static final double CACHE_MISS_RATIO = 0.3;
 
 	double uncachedTokens() {
-		return this.ownTokens + MISSED_SHARE * (this.accountTokens + this.documentTokens);
+		return this.uniqueTokens + CACHE_MISS_RATIO * (this.accountTokens + this.documentTokens);
 	}
 
 }
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/ResultPlot.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/ResultPlot.java
@@ -13,7 +13,8 @@
 import org.knowm.xchart.CategoryChartBuilder;
 
 /**
- * Draws results as bars: for each policy the cost of 1,000 requests that met the target.
+ * Plots, for each policy, the cost per 1,000 requests that met the targets as a bar
+ * chart.
  */
 final class ResultPlot {
 
@@ -27,25 +28,26 @@
 	static void write(List<RunResult> results, Path file) {
 		CategoryChart chart = new CategoryChartBuilder().width(WIDTH)
 			.height(HEIGHT)
-			.title("Price of the engines' busy time for 1,000 requests that met the target")
+			.title("Price of the engines' busy time per 1,000 requests that met the targets")
 			.xAxisTitle("user and scenario")
 			.yAxisTitle("price")
 			.build();
-		byPolicy(results).forEach((policy, ofPolicy) -> chart.addSeries(policy, labels(ofPolicy), costs(ofPolicy)));
+		groupByPolicy(results)
+			.forEach((policy, policyResults) -> chart.addSeries(policy, labels(policyResults), costs(policyResults)));
 		try {
 			BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("Cannot write the plot " + file, ex);
+			throw new UncheckedIOException("Cannot write the plot to " + file, ex);
 		}
 	}
 
-	private static Map<String, List<RunResult>> byPolicy(List<RunResult> results) {
-		Map<String, List<RunResult>> grouped = new LinkedHashMap<>();
+	private static Map<String, List<RunResult>> groupByPolicy(List<RunResult> results) {
+		Map<String, List<RunResult>> resultsByPolicy = new LinkedHashMap<>();
 		for (RunResult result : results) {
-			grouped.computeIfAbsent(result.policy(), (policy) -> new ArrayList<>()).add(result);
+			resultsByPolicy.computeIfAbsent(result.policy(), (policy) -> new ArrayList<>()).add(result);
 		}
-		return grouped;
+		return resultsByPolicy;
 	}
 
 	private static List<String> labels(List<RunResult> results) {
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/ResultTable.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/ResultTable.java
@@ -4,14 +4,14 @@
 import java.util.Locale;
 
 /**
- * Prints results as a table.
+ * Formats results as a text table.
  */
 final class ResultTable {
 
 	private ResultTable() {
 	}
 
-	static String of(List<RunResult> results) {
+	static String format(List<RunResult> results) {
 		StringBuilder table = new StringBuilder();
 		table
 			.append(String.format(Locale.ROOT,
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/RunCommand.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/RunCommand.java
@@ -17,7 +17,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs policies on the seeded workload of a user and reports what they cost.
+ * Simulates placement policies on the seeded workload of a user and reports their cost.
  */
 @Parameters(commandDescription = "Measures placement policies on the seeded workload of a user")
 final class RunCommand {
@@ -33,38 +33,39 @@
 	@Parameter(names = "--scenario", description = "calm, full, overload, triple, reclaim-wave or all")
 	private String scenario = Scenario.CALM.label();
 
-	@Parameter(names = "--seed", description = "The seed; several may be given, separated by commas")
+	@Parameter(names = "--seed", description = "The seeds, separated by commas")
 	private List<Long> seeds = List.of(1L);
 
-	@Parameter(names = "--entries", description = "The entries that share the endpoints, over three data centers")
+	@Parameter(names = "--entries",
+			description = "The number of entries that share the endpoints, over three data centers")
 	private int entries = 1;
 
-	@Parameter(names = "--seconds", description = "The modelled seconds")
+	@Parameter(names = "--seconds", description = "The simulated seconds")
 	private int seconds = 600;
 
 	@Parameter(names = "--limits", description = "on, or off to place every request at once", arity = 1)
 	private String limits = "on";
 
-	@Parameter(names = "--json", description = "A file to write the results to")
+	@Parameter(names = "--json", description = "The file for the results as JSON")
 	private @Nullable String json;
 
-	@Parameter(names = "--plot", description = "A PNG file to draw the costs in")
+	@Parameter(names = "--plot", description = "The PNG file for a plot of the costs")
 	private @Nullable String plot;
 
 	void run(PrintStream output) {
 		List<RunResult> results = new ArrayList<>();
-		for (UserModel model : users()) {
-			for (Scenario each : scenarios()) {
-				for (PlacementPolicyName name : policies()) {
+		for (UserModel userModel : users()) {
+			for (Scenario runScenario : scenarios()) {
+				for (PlacementPolicyName policyName : policies()) {
 					for (long seed : this.seeds) {
-						RunSettings settings = new RunSettings(model, each, name, this.entries, seed, this.seconds,
-								!"off".equals(this.limits));
+						RunSettings settings = new RunSettings(userModel, runScenario, policyName, this.entries, seed,
+								this.seconds, !"off".equals(this.limits));
 						results.add(new Simulation(settings).run());
 					}
 				}
 			}
 		}
-		output.print(ResultTable.of(results));
+		output.print(ResultTable.format(results));
 		if (this.json != null) {
 			writeJson(results, Path.of(this.json));
 		}
@@ -94,7 +95,7 @@
 			Files.writeString(file, mapper.writeValueAsString(results));
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("Cannot write the results " + file, ex);
+			throw new UncheckedIOException("Cannot write the results to " + file, ex);
 		}
 	}
 
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/RunMetrics.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/RunMetrics.java
@@ -11,7 +11,7 @@
 import org.banyancove.core.routing.PromptPrefix;
 
 /**
- * Counts what happened in a run.
+ * Collects the metrics of a run.
  */
 final class RunMetrics {
 
@@ -19,7 +19,7 @@
 
 	private static final double THOUSAND = 1000;
 
-	private static final double MICROS = 1e6;
+	private static final double MICROS_PER_SECOND = 1e6;
 
 	private final Histogram firstToken = new Histogram(3);
 
@@ -55,7 +55,7 @@
 
 	private final Set<Long> computedPrefixes = new HashSet<>();
 
-	void offered(Arrival arrival) {
+	void recordOffered(Arrival arrival) {
 		if (!arrival.isModel()) {
 			this.ordersOffered++;
 			return;
@@ -64,56 +64,56 @@
 		this.offeredSmall += (arrival.isLargeAccount() ? 0 : 1);
 	}
 
-	void admitted(Arrival arrival) {
+	void recordAdmitted(Arrival arrival) {
 		this.admitted += (arrival.isModel() ? 1 : 0);
 	}
 
-	void refused(Arrival arrival, double now) {
+	void recordRefused(Arrival arrival, double now) {
 		if (arrival.isModel()) {
 			this.refused++;
 			this.refusedSmall += (arrival.isLargeAccount() ? 0 : 1);
-			this.refusal.recordValue(Math.round((now - arrival.at()) * MICROS));
+			this.refusal.recordValue(Math.round((now - arrival.at()) * MICROS_PER_SECOND));
 		}
 	}
 
-	void failed(Arrival arrival) {
+	void recordFailed(Arrival arrival) {
 		this.failed += (arrival.isModel() ? 1 : 0);
 	}
 
-	void retried(Arrival arrival) {
+	void recordRetry(Arrival arrival) {
 		this.retries += (arrival.isModel() ? 1 : 0);
 	}
 
-	void moved() {
+	void recordMove() {
 		this.moved++;
 	}
 
-	void recomputed(long tokens) {
+	void recordRecomputed(long tokens) {
 		this.recomputedTokens += tokens;
 	}
 
 	/**
-	 * Notes that some engine computed a prefix.
+	 * Records that an engine computed a prefix.
 	 * @param prefix the prefix
-	 * @return whether one had computed it before
+	 * @return whether an engine had computed it before
 	 */
-	boolean isComputedAgain(PromptPrefix prefix) {
+	boolean recordComputedPrefix(PromptPrefix prefix) {
 		return !this.computedPrefixes.add(prefix.digest());
 	}
 
-	void completed(Arrival arrival, Profile profile, double firstTokenAt, double now) {
-		double wait = firstTokenAt - arrival.at();
-		boolean firstInTime = wait <= seconds(profile.firstTokenTarget());
-		double perToken = ((arrival.outputTokens() > 0) ? (now - firstTokenAt) / arrival.outputTokens() : 0);
-		boolean inTime = firstInTime && perToken <= seconds(profile.tokenTarget());
+	void recordCompleted(Arrival arrival, Profile profile, double firstTokenAt, double now) {
+		double firstTokenSeconds = firstTokenAt - arrival.at();
+		boolean firstInTime = firstTokenSeconds <= seconds(profile.firstTokenTarget());
+		double secondsPerToken = ((arrival.outputTokens() > 0) ? (now - firstTokenAt) / arrival.outputTokens() : 0);
+		boolean inTime = firstInTime && secondsPerToken <= seconds(profile.tokenTarget());
 		if (!arrival.isModel()) {
 			this.ordersMet += (inTime ? 1 : 0);
 			return;
 		}
-		this.firstToken.recordValue(Math.round(wait * MICROS));
+		this.firstToken.recordValue(Math.round(firstTokenSeconds * MICROS_PER_SECOND));
 		this.met += (inTime ? 1 : 0);
 		this.lateFirst += (firstInTime ? 0 : 1);
-		this.slowTokens += ((perToken > seconds(profile.tokenTarget())) ? 1 : 0);
+		this.slowTokens += ((secondsPerToken > seconds(profile.tokenTarget())) ? 1 : 0);
 	}
 
 	RunResult result(RunSettings settings, Collection<SimulatedEndpoint> endpoints) {
@@ -128,17 +128,17 @@
 		}
 		return new RunResult(settings.user().label(), settings.scenario().label(),
 				settings.policy().name().toLowerCase(Locale.ROOT), settings.entries(), settings.seed(),
-				settings.limits(), this.offered, share(this.met, this.offered), share(this.lateFirst, this.offered),
-				share(this.slowTokens, this.offered), this.met / settings.seconds(),
+				settings.limits(), this.offered, ratio(this.met, this.offered), ratio(this.lateFirst, this.offered),
+				ratio(this.slowTokens, this.offered), this.met / settings.seconds(),
 				THOUSAND * busyCost / Math.max(1, this.met), THOUSAND * fleetCost / Math.max(1, this.met),
 				this.recomputedTokens, millis(this.firstToken, 50), millis(this.firstToken, 99),
-				share(this.refused, this.offered), share(this.refusedSmall, this.offeredSmall),
-				millis(this.refusal, 50), this.failed, share(this.retries, this.admitted), this.moved,
-				share(this.ordersMet, this.ordersOffered));
+				ratio(this.refused, this.offered), ratio(this.refusedSmall, this.offeredSmall),
+				millis(this.refusal, 50), this.failed, ratio(this.retries, this.admitted), this.moved,
+				ratio(this.ordersMet, this.ordersOffered));
 	}
 
-	private static double share(int part, int whole) {
-		return ((whole == 0) ? 0 : (double) part / whole);
+	private static double ratio(int part, int total) {
+		return ((total == 0) ? 0 : (double) part / total);
 	}
 
 	private static double millis(Histogram histogram, double percentile) {
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/RunResult.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/RunResult.java
@@ -1,32 +1,32 @@
 package org.banyancove.experiment;
 
 /**
- * What one run measured.
+ * The results of one run.
  *
- * @param user the user
+ * @param user the user model
  * @param scenario the scenario
  * @param policy the placement policy
- * @param entries the entries
+ * @param entries the number of entries
  * @param seed the seed
- * @param limits whether admission limits applied
+ * @param limits whether admission limits apply
  * @param offered the model requests that callers sent
- * @param metShare the share of them answered whole and within the target
- * @param lateShare the share whose first token came after the target
- * @param slowShare the share whose tokens came slower than the target
- * @param goodputPerSecond the requests a second answered within the target
- * @param busyCostPerThousandMet the price of the engines' busy time, for 1,000 requests
- * that met the target
- * @param fleetCostPerThousandMet the price of all engines over the whole run, for 1,000
- * requests that met the target
+ * @param metShare the share of them answered completely and within the targets
+ * @param lateShare the share whose first token exceeded its target
+ * @param slowShare the share whose tokens exceeded their target
+ * @param goodputPerSecond the requests per second answered within the targets
+ * @param busyCostPerThousandMet the price of the engines' busy time per 1,000 requests
+ * that met the targets
+ * @param fleetCostPerThousandMet the price of all engines over the run per 1,000 requests
+ * that met the targets
  * @param recomputedTokens the prompt and answer tokens computed more than once
  * @param firstTokenMillisP50 the median time to the first token
- * @param firstTokenMillisP99 the time to the first token that 99 in 100 were within
+ * @param firstTokenMillisP99 the 99th percentile of the time to the first token
  * @param refusedShare the share of the requests refused
  * @param refusedShareOfSmall the share of the small accounts' requests refused
- * @param refusedMedianMillis the median time until a refused caller had its answer
- * @param failed the requests that were let in and got no whole answer
- * @param retriesPerRequest the retries for each request let in
- * @param moved the attempts moved off leaving endpoints
+ * @param refusedMedianMillis the median time until a request was refused
+ * @param failed the admitted requests without a complete answer
+ * @param retriesPerRequest the retries per admitted request
+ * @param moved the attempts moved away from leaving endpoints
  * @param ordersMetShare the share of the orders answered within their target
  */
 record RunResult(String user, String scenario, String policy, int entries, long seed, boolean limits, int offered,
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/Scenario.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/Scenario.java
@@ -3,23 +3,23 @@
 import java.util.Locale;
 
 /**
- * What the endpoints go through, and the load as a part of what they can carry.
+ * A scenario: the load as a fraction of the endpoints' capacity, and the faults.
  */
 enum Scenario {
 
-	/** Well within what the endpoints can carry. */
+	/** Well below the endpoints' capacity. */
 	CALM(0.6),
 
-	/** Just what the endpoints can carry. */
+	/** Exactly the endpoints' capacity. */
 	FULL(1.0),
 
-	/** Half as much again as the endpoints can carry. */
+	/** One and a half times the endpoints' capacity. */
 	OVERLOAD(1.5),
 
-	/** Three times what the endpoints can carry. */
+	/** Three times the endpoints' capacity. */
 	TRIPLE(3.0),
 
-	/** A zone is reclaimed on seconds of notice and comes back later. */
+	/** A zone is reclaimed with seconds of notice and restarts later. */
 	RECLAIM_WAVE(0.6);
 
 	private final double load;
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEndpoint.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEndpoint.java
@@ -4,47 +4,47 @@
 import org.banyancove.core.routing.LoadReport;
 
 /**
- * A model of an endpoint.
+ * A simulated endpoint.
  */
 sealed interface SimulatedEndpoint permits SimulatedEngine, SimulatedService {
 
 	/**
-	 * Returns what the platform's list says of the endpoint.
+	 * Returns the endpoint's definition in the platform's list.
 	 * @return the definition
 	 */
 	EndpointDefinition definition();
 
 	/**
-	 * Takes an attempt.
+	 * Submits an attempt.
 	 * @param job the attempt
 	 */
 	void submit(Job job);
 
 	/**
-	 * Drops an attempt.
+	 * Cancels an attempt.
 	 * @param job the attempt
-	 * @return the tokens of its answer that were generated
+	 * @return the number of tokens generated so far
 	 */
 	int cancel(Job job);
 
 	/**
-	 * Ends the process with all that runs there.
+	 * Kills the process with all its attempts.
 	 */
 	void kill();
 
 	/**
-	 * Starts the process again, with an empty cache.
+	 * Restarts the process with an empty cache.
 	 */
 	void restart();
 
 	/**
-	 * Returns the load at this moment.
+	 * Returns the current load.
 	 * @return the report
 	 */
 	LoadReport report();
 
 	/**
-	 * Returns for how long the endpoint had something to do.
+	 * Returns the endpoint's busy time.
 	 * @return the time in seconds
 	 */
 	double busySeconds();
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEngine.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEngine.java
@@ -15,20 +15,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A model of an engine that batches continuously: one prompt is computed at a time, while
- * all sequences of the batch advance at the same pace, which falls as the batch grows.
- * Progress is kept as the tokens that a sequence present all the time would have got, so
- * that a step costs nothing to model.
+ * Models an engine with continuous batching: one prompt is prefilled at a time, while all
+ * sequences of the batch decode at the same rate, which decreases as the batch grows.
+ * <p>
+ * The virtual time is the number of tokens that a sequence in the batch since the start
+ * would have generated. It makes the cost of the model independent of the number of
+ * decoding steps.
  */
 final class SimulatedEngine implements SimulatedEndpoint {
 
-	/** The pace of the batch while a prompt is computed beside it. */
-	private static final double PACE_BESIDE_PROMPT = 0.6;
+	/** The relative decoding rate of the batch while a prompt is prefilled. */
+	private static final double DECODE_RATE_DURING_PREFILL = 0.6;
 
-	/** The pace of a prompt beside a batch. */
-	private static final double PROMPT_BESIDE_BATCH = 0.85;
+	/** The relative rate of a prefill while a batch decodes. */
+	private static final double PREFILL_RATE_DURING_DECODE = 0.85;
 
-	private static final int LONGEST_QUEUE = 64;
+	private static final int MAXIMUM_QUEUE_LENGTH = 64;
 
 	private final EndpointDefinition definition;
 
@@ -42,15 +44,15 @@
 
 	private final PriorityQueue<Job> batch = new PriorityQueue<>(Comparator.comparingDouble(Job::endAt));
 
-	private final PromptCache cache;
+	private final PrefixCache cache;
 
-	private @Nullable Job prompt;
+	private @Nullable Job prefilling;
 
-	private int promptComputed;
+	private int prefillTokens;
 
-	private double promptLeft;
+	private double remainingPrefillTokens;
 
-	private double progress;
+	private double virtualTime;
 
 	private double updatedAt;
 
@@ -60,7 +62,7 @@
 
 	private long cacheSequence;
 
-	private long version;
+	private long scheduleVersion;
 
 	private boolean alive = true;
 
@@ -69,7 +71,7 @@
 		this.speed = engine.speed();
 		this.events = events;
 		this.cacheListener = cacheListener;
-		this.cache = new PromptCache(engine.speed().cacheTokens());
+		this.cache = new PrefixCache(engine.speed().cacheTokens());
 	}
 
 	@Override
@@ -83,7 +85,7 @@
 			job.listener().lost();
 			return;
 		}
-		if (this.queue.size() >= LONGEST_QUEUE) {
+		if (this.queue.size() >= MAXIMUM_QUEUE_LENGTH) {
 			job.listener().refused();
 			return;
 		}
@@ -97,11 +99,11 @@
 		advance();
 		int generated = 0;
 		if (this.batch.remove(job)) {
-			generated = (int) Math.max(0, job.outputTokens() - (job.endAt() - this.progress));
+			generated = (int) Math.max(0, job.outputTokens() - (job.endAt() - this.virtualTime));
 			this.kvUsed -= job.kvTokens();
 		}
-		else if (this.prompt == job) {
-			this.prompt = null;
+		else if (this.prefilling == job) {
+			this.prefilling = null;
 			this.kvUsed -= job.kvTokens();
 		}
 		else {
@@ -117,15 +119,15 @@
 		advance();
 		List<Job> jobs = new ArrayList<>(this.queue);
 		jobs.addAll(this.batch);
-		if (this.prompt != null) {
-			jobs.add(this.prompt);
+		if (this.prefilling != null) {
+			jobs.add(this.prefilling);
 		}
 		this.alive = false;
 		this.queue.clear();
 		this.batch.clear();
-		this.prompt = null;
+		this.prefilling = null;
 		this.kvUsed = 0;
-		this.version++;
+		this.scheduleVersion++;
 		this.cache.clear();
 		jobs.forEach((job) -> job.listener().lost());
 	}
@@ -139,8 +141,8 @@
 	@Override
 	public LoadReport report() {
 		advance();
-		int running = this.batch.size() + ((this.prompt != null) ? 1 : 0);
-		double tokensPerSecond = this.batch.size() * pace();
+		int running = this.batch.size() + ((this.prefilling != null) ? 1 : 0);
+		double tokensPerSecond = this.batch.size() * decodeRate();
 		return new LoadReport(this.events.instant(), running, this.queue.size(), tokensPerSecond, this.kvUsed,
 				this.speed.kvLimit());
 	}
@@ -150,62 +152,62 @@
 		return this.busySeconds;
 	}
 
-	private double pace() {
+	private double decodeRate() {
 		if (this.batch.isEmpty()) {
 			return 0;
 		}
 		double step = this.speed.stepSeconds() + this.batch.size() * this.speed.stepSecondsPerSequence();
-		return ((this.prompt != null) ? PACE_BESIDE_PROMPT : 1) / step;
+		return ((this.prefilling != null) ? DECODE_RATE_DURING_PREFILL : 1) / step;
 	}
 
-	private double promptPace() {
-		return this.speed.promptTokensPerSecond() * (this.batch.isEmpty() ? 1 : PROMPT_BESIDE_BATCH);
+	private double prefillRate() {
+		return this.speed.promptTokensPerSecond() * (this.batch.isEmpty() ? 1 : PREFILL_RATE_DURING_DECODE);
 	}
 
 	private void advance() {
 		double elapsed = this.events.now() - this.updatedAt;
 		this.updatedAt = this.events.now();
-		if (this.prompt != null || !this.batch.isEmpty()) {
+		if (this.prefilling != null || !this.batch.isEmpty()) {
 			this.busySeconds += elapsed;
 		}
-		this.progress += elapsed * pace();
-		if (this.prompt != null) {
-			this.promptLeft -= elapsed * promptPace();
+		this.virtualTime += elapsed * decodeRate();
+		if (this.prefilling != null) {
+			this.remainingPrefillTokens -= elapsed * prefillRate();
 		}
 	}
 
 	private void schedule() {
-		startPrompt();
-		this.version++;
-		long scheduled = this.version;
+		startPrefill();
+		this.scheduleVersion++;
+		long scheduledVersion = this.scheduleVersion;
 		double next = Double.POSITIVE_INFINITY;
-		if (this.prompt != null) {
-			next = Math.max(0, this.promptLeft) / promptPace();
+		if (this.prefilling != null) {
+			next = Math.max(0, this.remainingPrefillTokens) / prefillRate();
 		}
 		if (!this.batch.isEmpty()) {
-			next = Math.min(next, Math.max(0, this.batch.peek().endAt() - this.progress) / pace());
+			next = Math.min(next, Math.max(0, this.batch.peek().endAt() - this.virtualTime) / decodeRate());
 		}
 		if (next < Double.POSITIVE_INFINITY) {
-			this.events.after(next, () -> step(scheduled));
+			this.events.scheduleAfter(next, () -> step(scheduledVersion));
 		}
 	}
 
-	private void step(long scheduled) {
-		if (scheduled != this.version) {
+	private void step(long scheduledVersion) {
+		if (scheduledVersion != this.scheduleVersion) {
 			return;
 		}
 		advance();
-		Job computed = this.prompt;
-		if (computed != null && this.promptLeft <= 1e-6) {
-			this.prompt = null;
-			computed.endAt(this.progress + computed.outputTokens());
-			this.batch.add(computed);
-			this.cache.store(computed.prefixes(), (prefix) -> tell(CacheChange.Kind.STORED, prefix),
-					(prefix) -> tell(CacheChange.Kind.EVICTED, prefix));
-			computed.listener().firstToken(this.promptComputed);
+		Job prefilled = this.prefilling;
+		if (prefilled != null && this.remainingPrefillTokens <= 1e-6) {
+			this.prefilling = null;
+			prefilled.endAt(this.virtualTime + prefilled.outputTokens());
+			this.batch.add(prefilled);
+			this.cache.store(prefilled.prefixes(), (prefix) -> notifyCacheListener(CacheChange.Kind.STORED, prefix),
+					(prefix) -> notifyCacheListener(CacheChange.Kind.EVICTED, prefix));
+			prefilled.listener().firstToken(this.prefillTokens);
 		}
 		Job first = this.batch.peek();
-		if (first != null && first.endAt() <= this.progress + 1e-6) {
+		if (first != null && first.endAt() <= this.virtualTime + 1e-6) {
 			this.batch.remove();
 			this.kvUsed -= first.kvTokens();
 			first.end();
@@ -214,22 +216,22 @@
 		schedule();
 	}
 
-	private void startPrompt() {
+	private void startPrefill() {
 		Job next = this.queue.peekFirst();
-		if (this.prompt != null || next == null || this.batch.size() >= this.speed.slots()) {
+		if (this.prefilling != null || next == null || this.batch.size() >= this.speed.slots()) {
 			return;
 		}
 		if (!this.batch.isEmpty() && this.kvUsed + next.kvTokens() > this.speed.kvLimit()) {
 			return;
 		}
 		this.queue.removeFirst();
-		this.prompt = next;
+		this.prefilling = next;
 		this.kvUsed += next.kvTokens();
-		this.promptComputed = Math.max(1, next.promptTokens() - this.cache.cachedTokens(next.prefixes()));
-		this.promptLeft = this.promptComputed;
+		this.prefillTokens = Math.max(1, next.promptTokens() - this.cache.cachedTokens(next.prefixes()));
+		this.remainingPrefillTokens = this.prefillTokens;
 	}
 
-	private void tell(CacheChange.Kind kind, PromptPrefix prefix) {
+	private void notifyCacheListener(CacheChange.Kind kind, PromptPrefix prefix) {
 		this.cacheSequence++;
 		this.cacheListener.accept(this, new CacheChange(this.cacheSequence, kind, prefix));
 	}
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEntry.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEntry.java
@@ -32,16 +32,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stands in for an entry: gives the core its events and carries out its decisions.
+ * Simulates an entry: passes events to the core and executes its decisions.
  */
 final class SimulatedEntry {
 
-	/** Streams still running this long before a reclaim are moved. */
-	private static final double MOVE_BEFORE_SECONDS = 2;
+	/** Streams that still run this long before a reclaim are moved. */
+	private static final double MOVE_LEAD_SECONDS = 2;
 
-	private static final int COST_OF_AN_OUTPUT_TOKEN = 4;
+	private static final int OUTPUT_TOKEN_COST = 4;
 
-	private static final double FAILED_ATTEMPTS = 0.002;
+	private static final double ATTEMPT_FAILURE_PROBABILITY = 0.002;
 
 	private final RunSettings settings;
 
@@ -53,7 +53,7 @@
 
 	private final RunMetrics metrics;
 
-	private final RandomGenerator faults;
+	private final RandomGenerator random;
 
 	private final PlacementSystem placement;
 
@@ -61,13 +61,13 @@
 
 	private final RetryRule retries;
 
-	private final Map<RequestId, Flight> flights = new LinkedHashMap<>();
+	private final Map<RequestId, RequestState> requests = new LinkedHashMap<>();
 
-	private final Set<Flight> unplaced = new LinkedHashSet<>();
+	private final Set<RequestState> unplaced = new LinkedHashSet<>();
 
-	private final Map<EndpointId, Integer> sent = new LinkedHashMap<>();
+	private final Map<EndpointId, Integer> attemptsSent = new LinkedHashMap<>();
 
-	private final Map<EndpointId, EndpointDefinition> returning = new HashMap<>();
+	private final Map<EndpointId, EndpointDefinition> restarting = new HashMap<>();
 
 	SimulatedEntry(RunSettings settings, EventQueue events, Map<EndpointId, SimulatedEndpoint> endpoints,
 			RunMetrics metrics, RandomGenerator random) {
@@ -75,7 +75,7 @@
 		this.events = events;
 		this.endpoints = endpoints;
 		this.metrics = metrics;
-		this.faults = random;
+		this.random = random;
 		this.placement = new PlacementSystem(this.table, events, random, settings.user().placementSettings());
 		this.admission = new AdmissionSystem(this.table, events);
 		this.retries = new RetryRule(events);
@@ -90,58 +90,59 @@
 	}
 
 	/**
-	 * Takes what was sent to endpoints since the last call, for the peers.
+	 * Returns the attempts sent since the last call, for the heartbeats, and resets them.
 	 * @return the number of attempts by endpoint
 	 */
-	Map<EndpointId, Integer> takeSent() {
-		Map<EndpointId, Integer> taken = Map.copyOf(this.sent);
-		this.sent.clear();
-		return taken;
+	Map<EndpointId, Integer> drainAttemptsSent() {
+		Map<EndpointId, Integer> drained = Map.copyOf(this.attemptsSent);
+		this.attemptsSent.clear();
+		return drained;
 	}
 
-	void arrive(Arrival arrival) {
-		this.metrics.offered(arrival);
-		Flight flight = new Flight(arrival, profile(arrival));
-		this.flights.put(arrival.request(), flight);
+	void accept(Arrival arrival) {
+		this.metrics.recordOffered(arrival);
+		RequestState state = new RequestState(arrival, profile(arrival));
+		this.requests.put(arrival.request(), state);
 		if (!this.settings.limits()) {
-			start(flight);
+			start(state);
 			return;
 		}
-		double cost = arrival.promptTokens() + (double) COST_OF_AN_OUTPUT_TOKEN * arrival.outputTokens();
-		decided(this.admission.offer(new AdmissionRequest(arrival.request(), arrival.account(), arrival.service(),
-				flight.profile, this.events.instant(), cost, 1)));
+		double cost = arrival.promptTokens() + (double) OUTPUT_TOKEN_COST * arrival.outputTokens();
+		applyDecision(this.admission.offer(new AdmissionRequest(arrival.request(), arrival.account(), arrival.service(),
+				state.profile, this.events.instant(), cost, 1)));
 	}
 
 	void tick() {
-		for (Flight flight : List.copyOf(this.unplaced)) {
-			this.unplaced.remove(flight);
-			place(flight);
+		for (RequestState state : List.copyOf(this.unplaced)) {
+			this.unplaced.remove(state);
+			place(state);
 		}
-		this.admission.tick().forEach(this::decided);
-		for (EndpointDefinition definition : List.copyOf(this.returning.values())) {
+		this.admission.tick().forEach(this::applyDecision);
+		for (EndpointDefinition definition : List.copyOf(this.restarting.values())) {
 			this.table.put(definition, this.events.instant());
-			this.returning.remove(definition.id());
+			this.restarting.remove(definition.id());
 		}
 	}
 
-	void noticed(EndpointDefinition definition, Instant reclaimAt) {
+	void reclaimAnnounced(EndpointDefinition definition, Instant reclaimAt) {
 		this.table.markLeaving(definition.id(), reclaimAt, this.events.instant());
-		for (Flight flight : at(definition.id())) {
-			if (Double.isNaN(flight.attemptFirstTokenAt)) {
-				move(flight);
+		for (RequestState state : requestsAt(definition.id())) {
+			if (Double.isNaN(state.attemptFirstTokenAt)) {
+				move(state);
 			}
 		}
-		double left = this.events.secondsOf(reclaimAt) - this.events.now();
-		this.events.after(Math.max(0, left - MOVE_BEFORE_SECONDS), () -> at(definition.id()).forEach(this::move));
+		double remaining = this.events.secondsOf(reclaimAt) - this.events.now();
+		this.events.scheduleAfter(Math.max(0, remaining - MOVE_LEAD_SECONDS),
+				() -> requestsAt(definition.id()).forEach(this::move));
 	}
 
-	void vanished(EndpointId endpoint) {
+	void endpointLost(EndpointId endpoint) {
 		this.table.markGone(endpoint, this.events.instant());
 	}
 
-	void returned(EndpointDefinition definition) {
+	void endpointRestarted(EndpointDefinition definition) {
 		this.table.remove(definition.id(), this.events.instant());
-		this.returning.put(definition.id(), definition);
+		this.restarting.put(definition.id(), definition);
 	}
 
 	private Profile profile(Arrival arrival) {
@@ -150,231 +151,231 @@
 				: user.orderProfile(this.settings.policy()));
 	}
 
-	private void decided(AdmissionDecision decision) {
-		Flight flight = this.flights.get(decision.request());
-		if (flight == null) {
+	private void applyDecision(AdmissionDecision decision) {
+		RequestState state = this.requests.get(decision.request());
+		if (state == null) {
 			return;
 		}
 		switch (decision) {
-			case AdmissionDecision.Admitted admitted -> start(flight);
+			case AdmissionDecision.Admitted admitted -> start(state);
 			case AdmissionDecision.Waiting waiting -> {
 			}
-			case AdmissionDecision.Refused refused -> refuse(flight);
+			case AdmissionDecision.Refused refused -> refuse(state);
 		}
 	}
 
-	private void start(Flight flight) {
-		flight.started = true;
-		this.metrics.admitted(flight.arrival);
-		this.retries.firstAttempt(flight.arrival.service(), flight.profile);
-		place(flight);
+	private void start(RequestState state) {
+		state.started = true;
+		this.metrics.recordAdmitted(state.arrival);
+		this.retries.firstAttempt(state.arrival.service(), state.profile);
+		place(state);
 	}
 
-	private void place(Flight flight) {
-		PlacementRequest request = flight.placementRequest(this.events.at(flight.arrival.at()));
+	private void place(RequestState state) {
+		PlacementRequest request = state.placementRequest(this.events.at(state.arrival.at()));
 		switch (this.placement.place(request)) {
-			case PlacementDecision.Placed placed -> send(flight, request, placed);
-			case PlacementDecision.Refused refused -> notPlaced(flight);
+			case PlacementDecision.Placed placed -> send(state, request, placed);
+			case PlacementDecision.Refused refused -> placementRefused(state);
 		}
 	}
 
-	private void notPlaced(Flight flight) {
-		boolean late = this.events.now() > flight.deadline();
-		if (flight.attempts == 0) {
-			refuse(flight);
+	private void placementRefused(RequestState state) {
+		boolean late = this.events.now() > state.deadline();
+		if (state.attempts == 0) {
+			refuse(state);
 		}
 		else if (late) {
-			giveUp(flight);
+			fail(state);
 		}
 		else {
-			this.unplaced.add(flight);
+			this.unplaced.add(state);
 		}
 	}
 
-	private void send(Flight flight, PlacementRequest request, PlacementDecision.Placed placed) {
-		flight.attempts++;
-		flight.endpoint = placed.endpoint();
-		flight.attemptFirstTokenAt = Double.NaN;
+	private void send(RequestState state, PlacementRequest request, PlacementDecision.Placed placed) {
+		state.attempts++;
+		state.endpoint = placed.endpoint();
+		state.attemptFirstTokenAt = Double.NaN;
 		this.table.attemptStarted(placed, request, this.events.instant());
-		this.sent.merge(placed.endpoint(), 1, Integer::sum);
-		SimulatedEndpoint endpoint = simulated(placed.endpoint());
-		Arrival arrival = flight.arrival;
+		this.attemptsSent.merge(placed.endpoint(), 1, Integer::sum);
+		SimulatedEndpoint endpoint = findEndpoint(placed.endpoint());
+		Arrival arrival = state.arrival;
 		Job job = new Job(arrival.request(), arrival.prefixes(), request.promptTokens(), request.outputTokens(),
-				arrival.serviceSeconds(), new JobListener(flight));
-		flight.job = job;
-		if (this.faults.nextDouble() < FAILED_ATTEMPTS) {
-			this.events.after(0.05, () -> ended(flight, job, AttemptOutcome.FAILED));
+				arrival.serviceSeconds(), new JobListener(state));
+		state.job = job;
+		if (this.random.nextDouble() < ATTEMPT_FAILURE_PROBABILITY) {
+			this.events.scheduleAfter(0.05, () -> attemptFailed(state, job, AttemptOutcome.FAILED));
 			return;
 		}
-		// Through the queue of events, so that a refusal does not come back before
-		// this decision is done.
-		this.events.after(0.001, () -> {
-			if (flight.job == job) {
+		// Submits the job from the event queue, so that a refusal is not handled before
+		// this decision is complete.
+		this.events.scheduleAfter(0.001, () -> {
+			if (state.job == job) {
 				endpoint.submit(job);
 			}
 		});
 	}
 
-	private void ended(Flight flight, Job job, AttemptOutcome outcome) {
-		if (flight.job != job) {
+	private void attemptFailed(RequestState state, Job job, AttemptOutcome outcome) {
+		if (state.job != job) {
 			return;
 		}
-		EndpointId endpoint = flight.endpoint();
-		flight.job = null;
-		this.table.attemptEnded(endpoint, flight.arrival.request(), outcome, this.events.instant());
-		flight.failedAt.add(endpoint);
+		EndpointId endpoint = state.endpoint();
+		state.job = null;
+		this.table.attemptEnded(endpoint, state.arrival.request(), outcome, this.events.instant());
+		state.failedAt.add(endpoint);
 		if (outcome == AttemptOutcome.LOST) {
-			flight.generated = 0;
+			state.generated = 0;
 		}
-		boolean provedNotRun = outcome == AttemptOutcome.REFUSED;
-		RetryRequest request = new RetryRequest(flight.arrival.service(), flight.profile, flight.arrival.isModel(),
-				provedNotRun, outcome == AttemptOutcome.LOST, flight.failedAt, flight.attempts,
-				this.events.at(flight.arrival.at()));
+		boolean notExecuted = outcome == AttemptOutcome.REFUSED;
+		RetryRequest request = new RetryRequest(state.arrival.service(), state.profile, state.arrival.isModel(),
+				notExecuted, outcome == AttemptOutcome.LOST, state.failedAt, state.attempts,
+				this.events.at(state.arrival.at()));
 		switch (this.retries.decide(request)) {
 			case RetryDecision.Retry retry -> {
-				this.metrics.retried(flight.arrival);
-				place(flight);
+				this.metrics.recordRetry(state.arrival);
+				place(state);
 			}
-			case RetryDecision.GiveUp giveUp -> giveUp(flight);
+			case RetryDecision.GiveUp giveUp -> fail(state);
 		}
 	}
 
-	private void move(Flight flight) {
-		Job job = flight.job;
+	private void move(RequestState state) {
+		Job job = state.job;
 		if (job == null) {
 			return;
 		}
-		this.metrics.moved();
-		flight.generated += simulated(flight.endpoint()).cancel(job);
-		flight.job = null;
-		this.table.attemptEnded(flight.endpoint(), flight.arrival.request(), AttemptOutcome.CANCELLED,
+		this.metrics.recordMove();
+		state.generated += findEndpoint(state.endpoint()).cancel(job);
+		state.job = null;
+		this.table.attemptEnded(state.endpoint(), state.arrival.request(), AttemptOutcome.CANCELLED,
 				this.events.instant());
-		place(flight);
+		place(state);
 	}
 
-	private SimulatedEndpoint simulated(EndpointId id) {
+	private SimulatedEndpoint findEndpoint(EndpointId id) {
 		return Objects.requireNonNull(this.endpoints.get(id), () -> "Unknown endpoint " + id);
 	}
 
-	private List<Flight> at(EndpointId endpoint) {
-		List<Flight> found = new ArrayList<>();
-		for (Flight flight : this.flights.values()) {
-			if (flight.job != null && endpoint.equals(flight.endpoint)) {
-				found.add(flight);
+	private List<RequestState> requestsAt(EndpointId endpoint) {
+		List<RequestState> found = new ArrayList<>();
+		for (RequestState state : this.requests.values()) {
+			if (state.job != null && endpoint.equals(state.endpoint)) {
+				found.add(state);
 			}
 		}
 		return found;
 	}
 
-	private void refuse(Flight flight) {
-		this.metrics.refused(flight.arrival, this.events.now());
-		end(flight);
+	private void refuse(RequestState state) {
+		this.metrics.recordRefused(state.arrival, this.events.now());
+		end(state);
 	}
 
-	private void giveUp(Flight flight) {
-		this.metrics.failed(flight.arrival);
-		end(flight);
+	private void fail(RequestState state) {
+		this.metrics.recordFailed(state.arrival);
+		end(state);
 	}
 
-	private void end(Flight flight) {
-		this.flights.remove(flight.arrival.request());
-		if (this.settings.limits() && flight.started) {
-			this.admission.released(flight.arrival.service(), flight.arrival.request()).forEach(this::decided);
+	private void end(RequestState state) {
+		this.requests.remove(state.arrival.request());
+		if (this.settings.limits() && state.started) {
+			this.admission.released(state.arrival.service(), state.arrival.request()).forEach(this::applyDecision);
 		}
 	}
 
-	private void countComputed(Flight flight, int computedTokens, int promptTokens) {
-		// What an engine computes although it was computed before: the prefixes that
-		// are known, and all that a moved or repeated attempt had already.
-		int known = 0;
-		for (PromptPrefix prefix : flight.arrival.prefixes()) {
-			if (this.metrics.isComputedAgain(prefix)) {
-				known = prefix.tokens();
+	private void countComputed(RequestState state, int computedTokens, int promptTokens) {
+		// Recomputed tokens are those of prefixes that some engine has computed before,
+		// and the entire prompt of a moved or retried attempt.
+		int previouslyComputed = 0;
+		for (PromptPrefix prefix : state.arrival.prefixes()) {
+			if (this.metrics.recordComputedPrefix(prefix)) {
+				previouslyComputed = prefix.tokens();
 			}
 		}
-		if (flight.promptComputed) {
-			known = promptTokens;
+		if (state.promptComputed) {
+			previouslyComputed = promptTokens;
 		}
 		int cached = promptTokens - computedTokens;
-		this.metrics.recomputed(Math.max(0, known - cached));
-		flight.promptComputed = true;
+		this.metrics.recordRecomputed(Math.max(0, previouslyComputed - cached));
+		state.promptComputed = true;
 	}
 
 	/**
-	 * Takes what an endpoint says of one attempt.
+	 * Handles the events of one attempt.
 	 */
 	private final class JobListener implements Job.Listener {
 
-		private final Flight flight;
+		private final RequestState state;
 
-		JobListener(Flight flight) {
-			this.flight = flight;
+		JobListener(RequestState state) {
+			this.state = state;
 		}
 
 		@Override
 		public void firstToken(int computedTokens) {
-			Job job = this.flight.job;
+			Job job = this.state.job;
 			if (job == null) {
 				return;
 			}
 			double now = SimulatedEntry.this.events.now();
-			this.flight.attemptFirstTokenAt = now;
-			if (Double.isNaN(this.flight.firstTokenAt)) {
-				this.flight.firstTokenAt = now;
+			this.state.attemptFirstTokenAt = now;
+			if (Double.isNaN(this.state.firstTokenAt)) {
+				this.state.firstTokenAt = now;
 			}
-			SimulatedEntry.this.table.firstTokenSeen(this.flight.endpoint(), job.request(),
+			SimulatedEntry.this.table.firstTokenSeen(this.state.endpoint(), job.request(),
 					SimulatedEntry.this.events.instant());
-			if (this.flight.arrival.isModel()) {
-				countComputed(this.flight, computedTokens, job.promptTokens());
+			if (this.state.arrival.isModel()) {
+				countComputed(this.state, computedTokens, job.promptTokens());
 			}
 		}
 
 		@Override
 		public void completed() {
-			Job job = this.flight.job;
+			Job job = this.state.job;
 			if (job == null) {
 				return;
 			}
 			Instant now = SimulatedEntry.this.events.instant();
-			EndpointId endpoint = this.flight.endpoint();
-			this.flight.job = null;
+			EndpointId endpoint = this.state.endpoint();
+			this.state.job = null;
 			if (job.outputTokens() > 0) {
 				SimulatedEntry.this.table.tokensSeen(endpoint, job.request(), job.outputTokens(), now);
 			}
 			SimulatedEntry.this.table.attemptEnded(endpoint, job.request(), AttemptOutcome.COMPLETED, now);
-			SimulatedEntry.this.metrics.completed(this.flight.arrival, this.flight.profile, this.flight.firstTokenAt,
+			SimulatedEntry.this.metrics.recordCompleted(this.state.arrival, this.state.profile, this.state.firstTokenAt,
 					SimulatedEntry.this.events.now());
-			end(this.flight);
+			end(this.state);
 		}
 
 		@Override
 		public void refused() {
-			endedBy(AttemptOutcome.REFUSED);
+			attemptFailedWith(AttemptOutcome.REFUSED);
 		}
 
 		@Override
 		public void failed() {
-			endedBy(AttemptOutcome.FAILED);
+			attemptFailedWith(AttemptOutcome.FAILED);
 		}
 
 		@Override
 		public void lost() {
-			endedBy(AttemptOutcome.LOST);
+			attemptFailedWith(AttemptOutcome.LOST);
 		}
 
-		private void endedBy(AttemptOutcome outcome) {
-			Job job = this.flight.job;
+		private void attemptFailedWith(AttemptOutcome outcome) {
+			Job job = this.state.job;
 			if (job != null) {
-				ended(this.flight, job, outcome);
+				attemptFailed(this.state, job, outcome);
 			}
 		}
 
 	}
 
 	/**
-	 * A request on its way.
+	 * The state of an accepted request.
 	 */
-	private static final class Flight {
+	private static final class RequestState {
 
 		private final Arrival arrival;
 
@@ -398,13 +399,13 @@
 
 		private double attemptFirstTokenAt = Double.NaN;
 
-		Flight(Arrival arrival, Profile profile) {
+		RequestState(Arrival arrival, Profile profile) {
 			this.arrival = arrival;
 			this.profile = profile;
 		}
 
 		EndpointId endpoint() {
-			return Objects.requireNonNull(this.endpoint, "endpoint must be set while an attempt runs");
+			return Objects.requireNonNull(this.endpoint, "endpoint must be set while an attempt is running");
 		}
 
 		double deadline() {
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedService.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedService.java
@@ -11,11 +11,11 @@
 import org.banyancove.core.routing.LoadReport;
 
 /**
- * A model of a plain service with a fixed number of workers.
+ * Models a plain service with a fixed number of workers.
  */
 final class SimulatedService implements SimulatedEndpoint {
 
-	private static final int LONGEST_QUEUE = 64;
+	private static final int MAXIMUM_QUEUE_LENGTH = 64;
 
 	private final EndpointDefinition definition;
 
@@ -53,7 +53,7 @@
 			job.listener().lost();
 			return;
 		}
-		if (this.queue.size() >= LONGEST_QUEUE) {
+		if (this.queue.size() >= MAXIMUM_QUEUE_LENGTH) {
 			job.listener().refused();
 			return;
 		}
@@ -65,7 +65,7 @@
 	public int cancel(Job job) {
 		job.end();
 		this.queue.remove(job);
-		stop(job);
+		removeRunning(job);
 		return 0;
 	}
 
@@ -76,7 +76,7 @@
 		jobs.addAll(this.running);
 		this.queue.clear();
 		for (Job job : List.copyOf(this.running)) {
-			stop(job);
+			removeRunning(job);
 		}
 		jobs.forEach(Job::end);
 		jobs.forEach((job) -> job.listener().lost());
@@ -104,22 +104,22 @@
 				this.busySince = this.events.now();
 			}
 			this.running.add(job);
-			this.events.after(job.serviceSeconds() / this.speed, () -> finish(job));
+			this.events.scheduleAfter(job.serviceSeconds() / this.speed, () -> complete(job));
 		}
 	}
 
-	private void finish(Job job) {
+	private void complete(Job job) {
 		if (job.isEnded()) {
 			return;
 		}
 		job.end();
-		stop(job);
+		removeRunning(job);
 		job.listener().firstToken(0);
 		job.listener().completed();
 		startNext();
 	}
 
-	private void stop(Job job) {
+	private void removeRunning(Job job) {
 		if (this.running.remove(job) && this.running.isEmpty()) {
 			this.busySeconds += this.events.now() - this.busySince;
 		}
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SlopeMeasurement.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SlopeMeasurement.java
@@ -31,8 +31,8 @@
 import org.banyancove.core.routing.PromptPrefix;
 
 /**
- * Measures placement at one number of endpoints, spread over 13 data centers with two
- * zones each and three machine classes.
+ * Measures placement with a fixed number of endpoints, distributed over 13 data centers
+ * with two zones each and three machine classes.
  */
 final class SlopeMeasurement {
 
@@ -40,17 +40,17 @@
 
 	private static final int ZONES = 2;
 
-	private static final int CLASSES = 3;
+	private static final int MACHINE_CLASSES = 3;
 
 	private static final int IN_FLIGHT_PER_ENDPOINT = 4;
 
 	private static final int DOCUMENTS = 2000;
 
-	private static final int PREFIXES = 6;
+	private static final int PREFIXES_PER_REQUEST = 6;
 
-	private static final int SMALLEST_PREFIX = 64;
+	private static final int MINIMUM_PREFIX_TOKENS = 64;
 
-	private final int count;
+	private final int endpointCount;
 
 	private final int placements;
 
@@ -62,8 +62,8 @@
 
 	private long requests;
 
-	SlopeMeasurement(int count, int regions, int placements, long seed) {
-		this.count = count;
+	SlopeMeasurement(int endpointCount, int regions, int placements, long seed) {
+		this.endpointCount = endpointCount;
 		this.regionSize = Math.ceilDiv(DATA_CENTERS, regions);
 		this.placements = placements;
 		this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -78,71 +78,72 @@
 	}
 
 	private Row measure(PlacementPolicyName policy) {
-		long before = usedBytes();
+		long initialBytes = usedBytes();
 		EndpointTable table = new EndpointTable(region(), 0);
-		PlacementSystem system = new PlacementSystem(table, () -> this.now, this.random);
-		table.listed(IntStream.range(0, this.count).mapToObj(SlopeMeasurement::definition).toList(), this.now);
-		long withEndpoints = usedBytes();
-		Deque<Sent> inFlight = new ArrayDeque<>();
-		int steady = table.all().size() * IN_FLIGHT_PER_ENDPOINT;
-		for (int i = 0; i < steady + this.placements; i++) {
-			place(system, table, inFlight, policy);
-			if (inFlight.size() > steady) {
+		PlacementSystem placement = new PlacementSystem(table, () -> this.now, this.random);
+		table.listed(IntStream.range(0, this.endpointCount).mapToObj(SlopeMeasurement::definition).toList(), this.now);
+		long bytesWithEndpoints = usedBytes();
+		Deque<SentAttempt> inFlight = new ArrayDeque<>();
+		int targetInFlight = table.all().size() * IN_FLIGHT_PER_ENDPOINT;
+		for (int i = 0; i < targetInFlight + this.placements; i++) {
+			place(placement, table, inFlight, policy);
+			if (inFlight.size() > targetInFlight) {
 				end(table, inFlight.removeFirst());
 			}
 		}
 		int running = inFlight.size();
-		List<PlacementRequest> drawn = new ArrayList<>();
+		List<PlacementRequest> sampleRequests = new ArrayList<>();
 		for (int i = 0; i < this.placements; i++) {
-			drawn.add(request(policy));
+			sampleRequests.add(request(policy));
 		}
 		long start = System.nanoTime();
 		long checksum = 0;
-		for (PlacementRequest request : drawn) {
-			checksum += system.place(request).hashCode();
+		for (PlacementRequest request : sampleRequests) {
+			checksum += placement.place(request).hashCode();
 		}
 		double nanos = (double) (System.nanoTime() - start) / this.placements;
 		if (checksum == 0) {
 			throw new IllegalStateException("No placement was measured");
 		}
-		double endpointBytes = (double) (withEndpoints - before) / this.count;
-		drawn.clear();
-		long withRequests = usedBytes();
+		double endpointBytes = (double) (bytesWithEndpoints - initialBytes) / this.endpointCount;
+		sampleRequests.clear();
+		long bytesWithRequests = usedBytes();
 		while (!inFlight.isEmpty()) {
 			end(table, inFlight.removeFirst());
 		}
-		long withoutRequests = usedBytes();
-		double requestBytes = (double) (withRequests - withoutRequests) / Math.max(1, running);
-		double learnedBytes = (double) (withoutRequests - withEndpoints) / this.count;
-		if (system.place(request(policy)).hashCode() == 0) {
-			throw new IllegalStateException("The system must live until its size is measured");
+		long bytesAfterRequests = usedBytes();
+		double requestBytes = (double) (bytesWithRequests - bytesAfterRequests) / Math.max(1, running);
+		double learnedBytes = (double) (bytesAfterRequests - bytesWithEndpoints) / this.endpointCount;
+		if (placement.place(request(policy)).hashCode() == 0) {
+			throw new IllegalStateException("The placement system must be reachable until its size is measured");
 		}
 		return new Row(policy.name().toLowerCase(Locale.ROOT), nanos, endpointBytes, requestBytes, learnedBytes);
 	}
 
-	private void place(PlacementSystem system, EndpointTable table, Deque<Sent> inFlight, PlacementPolicyName policy) {
-		this.now = this.now.plusNanos(1_000_000_000L / Math.max(1, this.count));
+	private void place(PlacementSystem placement, EndpointTable table, Deque<SentAttempt> inFlight,
+			PlacementPolicyName policy) {
+		this.now = this.now.plusNanos(1_000_000_000L / Math.max(1, this.endpointCount));
 		PlacementRequest request = request(policy);
-		if (system.place(request) instanceof PlacementDecision.Placed placed) {
+		if (placement.place(request) instanceof PlacementDecision.Placed placed) {
 			table.attemptStarted(placed, request, this.now);
-			inFlight.addLast(new Sent(placed.endpoint(), request.request(), this.now));
+			inFlight.addLast(new SentAttempt(placed.endpoint(), request.request(), this.now));
 		}
 	}
 
-	private void end(EndpointTable table, Sent sent) {
-		Instant firstToken = sent.at().plusMillis(100 + this.random.nextInt(100));
-		table.firstTokenSeen(sent.endpoint(), sent.request(), firstToken);
+	private void end(EndpointTable table, SentAttempt attempt) {
+		Instant firstToken = attempt.at().plusMillis(100 + this.random.nextInt(100));
+		table.firstTokenSeen(attempt.endpoint(), attempt.request(), firstToken);
 		Instant last = firstToken.plusMillis(1000 + this.random.nextInt(500));
-		table.tokensSeen(sent.endpoint(), sent.request(), 50, last);
-		table.attemptEnded(sent.endpoint(), sent.request(), AttemptOutcome.COMPLETED, last);
+		table.tokensSeen(attempt.endpoint(), attempt.request(), 50, last);
+		table.attemptEnded(attempt.endpoint(), attempt.request(), AttemptOutcome.COMPLETED, last);
 	}
 
 	private PlacementRequest request(PlacementPolicyName policy) {
 		this.requests++;
 		long document = this.random.nextInt(DOCUMENTS);
-		List<PromptPrefix> prefixes = new ArrayList<>(PREFIXES);
-		for (int i = 0; i < PREFIXES; i++) {
-			prefixes.add(new PromptPrefix(document * PREFIXES + i, SMALLEST_PREFIX << i));
+		List<PromptPrefix> prefixes = new ArrayList<>(PREFIXES_PER_REQUEST);
+		for (int i = 0; i < PREFIXES_PER_REQUEST; i++) {
+			prefixes.add(new PromptPrefix(document * PREFIXES_PER_REQUEST + i, MINIMUM_PREFIX_TOKENS << i));
 		}
 		return new PlacementRequest(new RequestId("r" + this.requests), new AccountName("account"), UserModel.MODEL,
 				UserModel.LAGON_BLEU.modelProfile(policy), prefixes, 2500, 50, Set.of(), this.now,
@@ -158,7 +159,7 @@
 	private static EndpointDefinition definition(int number) {
 		int dataCenter = number % DATA_CENTERS;
 		int zone = number / DATA_CENTERS % ZONES;
-		int machineClass = number / DATA_CENTERS / ZONES % CLASSES;
+		int machineClass = number / DATA_CENTERS / ZONES % MACHINE_CLASSES;
 		double price = 1 + 0.1 * dataCenter + 0.03 * zone + 0.7 * machineClass;
 		return new EndpointDefinition(new EndpointId("endpoint-" + number), new VmId("vm-" + number),
 				new DataCenterName("dc-" + dataCenter), new ZoneName("dc-" + dataCenter + "-" + zone),
@@ -173,20 +174,20 @@
 	}
 
 	/**
-	 * The figures of one policy.
+	 * The measurements of one policy.
 	 *
 	 * @param policy the policy
 	 * @param nanosPerPlacement the mean time of a placement
-	 * @param bytesPerEndpoint the bytes that an endpoint adds before it has work
+	 * @param bytesPerEndpoint the bytes that an idle endpoint adds
 	 * @param bytesPerRequest the bytes that a running request adds
-	 * @param learnedBytesPerEndpoint the bytes that an endpoint adds for what was learned
-	 * of it, known prefixes included
+	 * @param learnedBytesPerEndpoint the bytes that an endpoint adds for its learned
+	 * state, including its cached prefixes
 	 */
 	record Row(String policy, double nanosPerPlacement, double bytesPerEndpoint, double bytesPerRequest,
 			double learnedBytesPerEndpoint) {
 	}
 
-	private record Sent(EndpointId endpoint, RequestId request, Instant at) {
+	private record SentAttempt(EndpointId endpoint, RequestId request, Instant at) {
 	}
 
 }
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SlopesCommand.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SlopesCommand.java
@@ -8,8 +8,8 @@
 import com.beust.jcommander.Parameters;
 
 /**
- * Measures how the cost of decisions and the size of their state grow with the number of
- * endpoints.
+ * Measures how the time of a placement and the memory of its state scale with the number
+ * of endpoints.
  */
 @Parameters(commandDescription = "Measures nanoseconds per placement and bytes per endpoint and request")
 final class SlopesCommand {
@@ -21,7 +21,7 @@
 			description = "The regions that the data centers are divided into; the entry keeps one")
 	private int regions = 1;
 
-	@Parameter(names = "--placements", description = "The placements measured at each size")
+	@Parameter(names = "--placements", description = "The number of placements measured for each number of endpoints")
 	private int placements = 200_000;
 
 	@Parameter(names = "--seed", description = "The seed")
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/UserModel.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/UserModel.java
@@ -17,7 +17,7 @@
 import org.banyancove.core.routing.PlacementSettings;
 
 /**
- * The two users: their endpoints, accounts and kinds of requests.
+ * The models of two users: their endpoints, accounts and kinds of requests.
  */
 enum UserModel {
 
@@ -26,22 +26,24 @@
 	 */
 	LAGON_BLEU(12),
 
-	/** Six engines and three order services; whole scores, then short hints at night. */
+	/**
+	 * Six engines and three order services; complete scores, then short hints at night.
+	 */
 	KOWHAI_LANE(40);
 
 	static final ServiceName MODEL = new ServiceName("model");
 
 	static final ServiceName ORDERS = new ServiceName("orders");
 
-	/** The part of the requests that each account sends: two are large. */
-	static final List<Double> ACCOUNT_PARTS = List.of(0.45, 0.35, 0.1, 0.06, 0.04);
+	/** The share of requests of each account; the first two accounts are large. */
+	static final List<Double> ACCOUNT_SHARES = List.of(0.45, 0.35, 0.1, 0.06, 0.04);
 
 	static final int LARGE_ACCOUNTS = 2;
 
-	private final int documentsOfAnAccount;
+	private final int documentsPerAccount;
 
-	UserModel(int documentsOfAnAccount) {
-		this.documentsOfAnAccount = documentsOfAnAccount;
+	UserModel(int documentsPerAccount) {
+		this.documentsPerAccount = documentsPerAccount;
 	}
 
 	static UserModel parse(String text) {
@@ -66,8 +68,8 @@
 		};
 	}
 
-	int documentsOfAnAccount() {
-		return this.documentsOfAnAccount;
+	int documentsPerAccount() {
+		return this.documentsPerAccount;
 	}
 
 	Profile modelProfile(PlacementPolicyName policy) {
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/Workload.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/Workload.java
@@ -11,24 +11,24 @@
 import org.banyancove.core.routing.PromptPrefix;
 
 /**
- * Draws a user's requests: a first half of mostly long ones with a peak in its middle,
- * and a second half of mostly short ones. The same seed gives the same requests, whatever
- * is done with them.
+ * Generates a user's requests: mostly long ones in the first half and mostly short ones
+ * in the second half, with a peak in the middle of each. The requests depend only on the
+ * seed, not on how they are handled.
  */
 final class Workload {
 
-	private static final int SMALLEST_PREFIX = 64;
+	private static final int MINIMUM_PREFIX_TOKENS = 64;
 
-	private static final double LONG_PART_IN_FIRST_HALF = 0.9;
+	private static final double FIRST_HALF_LONG_SHARE = 0.9;
 
-	private static final double LONG_PART_IN_SECOND_HALF = 0.1;
+	private static final double SECOND_HALF_LONG_SHARE = 0.1;
 
-	private static final double PEAK = 0.35;
+	private static final double PEAK_AMPLITUDE = 0.35;
 
-	/** Orders are few beside the model's requests. */
+	/** Orders are rare compared to model requests. */
 	private static final double ORDERS_PER_SECOND = 4;
 
-	private static final double ORDER_SECONDS = 0.04;
+	private static final double MEDIAN_ORDER_SECONDS = 0.04;
 
 	private final UserModel user;
 
@@ -50,37 +50,37 @@
 		this.random = random;
 	}
 
-	List<Arrival> draw() {
+	List<Arrival> generate() {
 		List<Arrival> arrivals = new ArrayList<>();
-		drawModel(arrivals);
-		drawOrders(arrivals);
+		generateModelRequests(arrivals);
+		generateOrders(arrivals);
 		arrivals.sort(Comparator.comparingDouble(Arrival::at));
 		return arrivals;
 	}
 
-	private void drawModel(List<Arrival> arrivals) {
+	private void generateModelRequests(List<Arrival> arrivals) {
 		double at = 0;
 		while (true) {
 			at += this.random.nextExponential() / rate(at);
 			if (at >= this.seconds) {
 				return;
 			}
-			boolean isLong = this.random.nextDouble() < longPart(at);
+			boolean isLong = this.random.nextDouble() < longShare(at);
 			arrivals.add(modelRequest(at, (isLong ? this.user.longShape() : this.user.shortShape())));
 		}
 	}
 
 	private double rate(double at) {
-		double part = longPart(at);
-		double secondsOfEngines = part / capacity(this.user.longShape())
-				+ (1 - part) / capacity(this.user.shortShape());
+		double longRequests = longShare(at);
+		double fleetSecondsPerRequest = longRequests / capacity(this.user.longShape())
+				+ (1 - longRequests) / capacity(this.user.shortShape());
 		double halfProgress = (at * 2 / this.seconds) % 1;
-		double peak = 1 + PEAK * Math.sin(Math.PI * (2 * halfProgress - 0.5));
-		return this.load * peak / secondsOfEngines;
+		double peak = 1 + PEAK_AMPLITUDE * Math.sin(Math.PI * (2 * halfProgress - 0.5));
+		return this.load * peak / fleetSecondsPerRequest;
 	}
 
-	private double longPart(double at) {
-		return ((at * 2 < this.seconds) ? LONG_PART_IN_FIRST_HALF : LONG_PART_IN_SECOND_HALF);
+	private double longShare(double at) {
+		return ((at * 2 < this.seconds) ? FIRST_HALF_LONG_SHARE : SECOND_HALF_LONG_SHARE);
 	}
 
 	private double capacity(RequestShape shape) {
@@ -95,25 +95,25 @@
 	private Arrival modelRequest(double at, RequestShape shape) {
 		int account = drawAccount();
 		int document = drawDocument();
-		int own = 1 + (int) (shape.ownTokens() * this.random.nextExponential());
+		int own = 1 + (int) (shape.uniqueTokens() * this.random.nextExponential());
 		int output = Math.max(8, (int) (shape.outputTokens() * (0.5 + this.random.nextDouble())));
 		int shared = shape.accountTokens() + shape.documentTokens();
-		int prompt = Math.min(shared + own, shared + 8 * shape.ownTokens());
+		int prompt = Math.min(shared + own, shared + 8 * shape.uniqueTokens());
 		List<PromptPrefix> prefixes = prefixes(shape, account, document, prompt);
 		return new Arrival(at, nextId(), UserModel.MODEL, accountName(account), isLarge(account), prefixes, prompt,
 				output, 0);
 	}
 
 	private int drawDocument() {
-		// Draws a document, some much oftener than others.
+		// The distribution is skewed: some documents are requested far more often.
 		double skewed = Math.pow(this.random.nextDouble(), 2);
-		return (int) (skewed * this.user.documentsOfAnAccount());
+		return (int) (skewed * this.user.documentsPerAccount());
 	}
 
 	private List<PromptPrefix> prefixes(RequestShape shape, int account, int document, int prompt) {
 		List<PromptPrefix> prefixes = new ArrayList<>();
 		long own = this.random.nextLong();
-		for (int tokens = SMALLEST_PREFIX; tokens <= prompt; tokens *= 2) {
+		for (int tokens = MINIMUM_PREFIX_TOKENS; tokens <= prompt; tokens *= 2) {
 			long digest;
 			if (tokens <= shape.accountTokens()) {
 				digest = mix(account, shape.accountTokens(), tokens);
@@ -129,7 +129,7 @@
 		return prefixes;
 	}
 
-	private void drawOrders(List<Arrival> arrivals) {
+	private void generateOrders(List<Arrival> arrivals) {
 		double at = 0;
 		while (true) {
 			at += this.random.nextExponential() / ORDERS_PER_SECOND;
@@ -137,7 +137,7 @@
 				return;
 			}
 			int account = drawAccount();
-			double service = ORDER_SECONDS * Math.exp(0.5 * this.random.nextGaussian());
+			double service = MEDIAN_ORDER_SECONDS * Math.exp(0.5 * this.random.nextGaussian());
 			arrivals.add(new Arrival(at, nextId(), UserModel.ORDERS, accountName(account), isLarge(account), List.of(),
 					1, 0, service));
 		}
@@ -146,14 +146,14 @@
 	private int drawAccount() {
 		double drawn = this.random.nextDouble();
 		int account = 0;
-		for (double part : UserModel.ACCOUNT_PARTS) {
-			drawn -= part;
+		for (double share : UserModel.ACCOUNT_SHARES) {
+			drawn -= share;
 			if (drawn < 0) {
 				return account;
 			}
 			account++;
 		}
-		return UserModel.ACCOUNT_PARTS.size() - 1;
+		return UserModel.ACCOUNT_SHARES.size() - 1;
 	}
 
 	private RequestId nextId() {
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/package-info.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Measures the core's decisions on seeded workloads: a small model of endpoints drives
- * the same placement, admission and retry code that the entry runs.
+ * Measures the core's decisions on seeded workloads: simulated endpoints drive the same
+ * placement, admission and retry code that the entry runs.
  */
 @NullMarked
 package org.banyancove.experiment;
--- a/banyancove-experiment/src/test/java/org/banyancove/experiment/SimulationTests.java
+++ b/banyancove-experiment/src/test/java/org/banyancove/experiment/SimulationTests.java
@@ -23,11 +23,11 @@
 
 	private static final double SECONDS = 120;
 
-	/** Long enough that the start, when no engine's speed is known, weighs little. */
+	/** Long enough to make the start, when no engine's speed is known, insignificant. */
 	private static final double LONG_SECONDS = 300;
 
 	@Test
-	void theSameSeedGivesTheSameResult() {
+	void sameSeedGivesTheSameResult() {
 		assertThat(run(UserModel.LAGON_BLEU, Scenario.RECLAIM_WAVE, PlacementPolicyName.COST_AT_TARGET, 1))
 			.isEqualTo(run(UserModel.LAGON_BLEU, Scenario.RECLAIM_WAVE, PlacementPolicyName.COST_AT_TARGET, 1));
 	}
@@ -45,12 +45,12 @@
 		}
 	}
 
-	// Six entries share the engines. Each sees late reports, and of what the others sent
-	// only what the one in its own data center tells, so that all of them may turn to
-	// the same cheap engine at once.
+	// Six entries share the engines. Each receives delayed load reports. It receives the
+	// loads of another entry only within its data center. All entries may therefore
+	// choose the same cheap engine at once.
 	@ParameterizedTest
 	@EnumSource(UserModel.class)
-	void costAtTargetKeepsItsLeadWithSeveralEntries(UserModel user) {
+	void costAtTargetIsCheaperThanEveryBaselineWithSeveralEntries(UserModel user) {
 		for (long seed : SEEDS) {
 			RunResult result = run(user, Scenario.CALM, PlacementPolicyName.COST_AT_TARGET, 6, seed);
 			for (PlacementPolicyName baseline : baselines()) {
@@ -61,12 +61,12 @@
 		}
 	}
 
-	// Callers send three times what the engines can carry. What can't be served in
-	// time is answered at once, and the engines go on answering about as many in time
-	// as at one time; retries do not add to the load.
+	// Callers send three times the engines' capacity. Requests that cannot meet their
+	// target must be refused at once, the goodput must stay close to that at full load,
+	// and retries must not amplify the load.
 	@ParameterizedTest
 	@EnumSource(UserModel.class)
-	void threeTimesTheLoadDoesNotTakeTheGoodputAway(UserModel user) {
+	void tripleLoadKeepsTheGoodputCloseToFullLoad(UserModel user) {
 		for (long seed : SEEDS) {
 			RunResult full = run(user, Scenario.FULL, seed);
 			RunResult triple = run(user, Scenario.TRIPLE, seed);
@@ -78,11 +78,11 @@
 		}
 	}
 
-	// Two engines of a zone are taken, one of them before its notice. All that was let
-	// in is answered whole, by moving it or trying again.
+	// Two engines of a zone are reclaimed, one of them before its notice. Every admitted
+	// request must be answered completely, by a move or a retry.
 	@ParameterizedTest
 	@EnumSource(UserModel.class)
-	void aReclaimWaveLosesNothingThatWasLetIn(UserModel user) {
+	void reclaimWaveFailsNoAdmittedRequest(UserModel user) {
 		for (long seed : SEEDS) {
 			RunResult result = run(user, Scenario.RECLAIM_WAVE, PlacementPolicyName.COST_AT_TARGET, seed);
 			assertThat(result.failed()).isZero();
@@ -90,7 +90,7 @@
 	}
 
 	@Test
-	void theCommandWritesTableAndJsonAndPlot(@TempDir Path directory) throws IOException {
+	void commandWritesTableJsonAndPlot(@TempDir Path directory) throws IOException {
 		RunCommand command = new RunCommand();
 		Path json = directory.resolve("results.json");
 		Path plot = directory.resolve("results.png");
