--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/AddressAnnouncement.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/AddressAnnouncement.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 import io.netty.channel.EventLoop;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,7 +30,7 @@
 
 	private final TopicFollower.Listener directory;
 
-	private final SharedTopics topics;
+	private final TopicStore topics;
 
 	private final EventLoop eventLoop;
 
@@ -43,7 +43,7 @@
 	 * @param topics the store
 	 * @param eventLoop the event loop that runs all work
 	 */
-	AddressAnnouncement(GatewayAddress ownAddress, TopicFollower.Listener directory, SharedTopics topics,
+	AddressAnnouncement(GatewayAddress ownAddress, TopicFollower.Listener directory, TopicStore topics,
 			EventLoop eventLoop) {
 		this.ownAddress = ownAddress;
 		this.directory = directory;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/EventLoopLagMonitor.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/EventLoopLagMonitor.java
@@ -39,7 +39,7 @@
 
 	/**
 	 * Records that the timer fired.
-	 * @param now the current time of the steady clock, in ns
+	 * @param now the current time of the monotonic clock, in ns
 	 */
 	void timerFired(long now) {
 		Duration lag = Duration.ofNanos(now - this.lastFiredAt).minus(this.interval);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/FleetExchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/FleetExchange.java
@@ -16,7 +16,7 @@
 import org.banyancove.gateway.duty.AggregatorSelection;
 import org.banyancove.gateway.duty.GatewayReport;
 import org.banyancove.gateway.duty.PeerTable;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -57,7 +57,7 @@
 
 	private final EventLoop eventLoop;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final GatewayDirectory directory;
 
@@ -83,14 +83,14 @@
 	 * Creates the exchange.
 	 * @param own the address of this gateway
 	 * @param eventLoop the event loop that runs all work
-	 * @param clock the steady clock
+	 * @param clock the monotonic clock
 	 * @param transport sends the messages
 	 * @param peerTable records the reports of other gateways
 	 * @param ownReport supplies the report of this gateway
 	 * @param remoteUsage receives the usage accepted by other gateways, by client account
 	 * @param relayedRecords receives the records that other gateways relay
 	 */
-	FleetExchange(GatewayAddress own, EventLoop eventLoop, SteadyClock clock, PeerTransport transport,
+	FleetExchange(GatewayAddress own, EventLoop eventLoop, MonotonicClock clock, PeerTransport transport,
 			PeerTable peerTable, Supplier<GatewayReport> ownReport, Consumer<Map<AccountName, Double>> remoteUsage,
 			Consumer<RelayedRecords> relayedRecords) {
 		this.name = own.name();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/Gateway.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/Gateway.java
@@ -20,7 +20,7 @@
 import org.banyancove.gateway.duty.EndpointLoad;
 import org.banyancove.gateway.duty.FleetView;
 import org.banyancove.gateway.duty.GatewayReport;
-import org.banyancove.gateway.duty.LeaseKeeper;
+import org.banyancove.gateway.duty.LeaseElector;
 import org.banyancove.gateway.duty.PeerTable;
 import org.banyancove.gateway.duty.TrafficTotals;
 import org.banyancove.gateway.duty.UsageCounter;
@@ -28,20 +28,20 @@
 import org.banyancove.gateway.endpoint.EndpointTable;
 import org.banyancove.gateway.endpoint.ObservedRateLimit;
 import org.banyancove.gateway.endpoint.PlacementRule;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.exchange.CallerServer;
-import org.banyancove.gateway.exchange.ClientConnections;
+import org.banyancove.gateway.exchange.ConnectionPool;
 import org.banyancove.gateway.exchange.Meters;
-import org.banyancove.gateway.exchange.RequestFlow;
+import org.banyancove.gateway.exchange.RequestDispatcher;
 import org.banyancove.gateway.rollout.RolloutController;
 import org.banyancove.gateway.rollout.RolloutTable;
 import org.banyancove.gateway.rollout.ServingEndpoints;
 import org.banyancove.gateway.shared.Duties;
 import org.banyancove.gateway.shared.HeaderCodec;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.banyancove.gateway.shared.RecordCodec;
-import org.banyancove.gateway.shared.SharedTopics;
-import org.banyancove.gateway.shared.SteadyClock;
 import org.banyancove.gateway.shared.Topic;
+import org.banyancove.gateway.shared.TopicStore;
 import org.banyancove.program.MetricsText;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
@@ -103,9 +103,9 @@
 
 	private final EventLoop eventLoop;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
-	private final SharedTopics topics;
+	private final TopicStore topics;
 
 	private final long incarnation;
 
@@ -125,7 +125,7 @@
 
 	private final PlacementRule placementRule;
 
-	private final RequestFlow requestFlow;
+	private final RequestDispatcher requestDispatcher;
 
 	private final CallerServer callerServer;
 
@@ -165,31 +165,31 @@
 	 * @param connections the connections to endpoints
 	 */
 	public Gateway(GatewaySettings settings, EventLoopGroup eventLoops, Clocks clocks, RandomGenerator random,
-			HeaderCodec headerCodec, RecordCodec recordCodec, Ports ports, ClientConnections connections) {
+			HeaderCodec headerCodec, RecordCodec recordCodec, Ports ports, ConnectionPool connections) {
 		this.settings = settings;
 		this.eventLoop = eventLoops.next();
-		this.clock = clocks.steady();
+		this.clock = clocks.monotonic();
 		this.topics = ports.topics();
 		this.incarnation = random.nextLong() >>> 1;
 		PrometheusRegistry registry = new PrometheusRegistry();
 		this.metrics = new GatewayMetrics(registry);
 		this.eventLoopLag = new EventLoopLagMonitor(TICK_INTERVAL, registry);
 		this.usage = new UsageCounter(settings.usageWindow());
-		this.endpoints = new EndpointTable(new RateLimitAllotment(settings.name(), this::gateways));
+		this.endpoints = new EndpointTable(new RateLimitAllocation(settings.name(), this::gateways));
 		this.servingEndpoints = new ServingEndpoints(this.endpoints, this.rollouts);
 		this.placementRule = new PlacementRule(settings.dataCenter());
-		this.requestFlow = new RequestFlow(this.eventLoop, this.clock, clocks.wall(), random, headerCodec, connections,
-				this.servingEndpoints, this::endpointsCurrent, this.placementRule,
+		this.requestDispatcher = new RequestDispatcher(this.eventLoop, this.clock, clocks.wall(), random, headerCodec,
+				connections, this.servingEndpoints, this::endpointsCurrent, this.placementRule,
 				new Meters(this.usage, this.demandEstimator), this.metrics, settings.retryLimits());
-		this.callerServer = new CallerServer(eventLoops, this.clock, this::callerLimits, this.requestFlow);
+		this.callerServer = new CallerServer(eventLoops, this.clock, this::callerLimits, this.requestDispatcher);
 		this.peerTable = new PeerTable(this.incarnation, settings.dataCenter());
 		this.address = new GatewayAddress(settings.name(), settings.peers(), settings.dataCenter(),
 				settings.processorShare());
 		this.fleetExchange = new FleetExchange(this.address, this.eventLoop, this.clock, this.peerChannel,
-				this.peerTable, this::report, this.requestFlow::remoteUsage, this::applyRelayed);
+				this.peerTable, this::report, this.requestDispatcher::remoteUsage, this::applyRelayed);
 		this.eventLoops = eventLoops;
 		this.statusServer = new StatusServer(eventLoops, this::ready, new MetricsText(registry));
-		LeaseKeeper leaseKeeper = new LeaseKeeper(settings.name(), this.incarnation, settings.lease(),
+		LeaseElector leaseElector = new LeaseElector(settings.name(), this.incarnation, settings.lease(),
 				random.nextDouble(), this.clock.nanos());
 		EndpointAutoscaler autoscaler = new EndpointAutoscaler(ports.duties(), () -> this.fleetView,
 				this.demandEstimator, this.servingEndpoints);
@@ -197,7 +197,7 @@
 				new RolloutController(settings.exposureLimits()), new RolloutStatusPublisher(this.topics, recordCodec),
 				() -> this.fleetView, this.endpoints, clocks.wall());
 		this.leaseHolderDuties = new LeaseHolderDuties(this.topics, ports.duties(), this.clock, clocks.wall(),
-				leaseKeeper, this.usage, this.peerTable, autoscaler, rolloutExecutor);
+				leaseElector, this.usage, this.peerTable, autoscaler, rolloutExecutor);
 		this.readDelegation = new ReadDelegation(this.clock, this.incarnation);
 		this.sharedState = new SharedStateFollower(this.topics, this.eventLoop, this.clock, recordCodec, this.endpoints,
 				this.readDelegation::delegatesSharedState, this::maximumRetryDelay, this.fleetExchange::relay,
@@ -278,7 +278,7 @@
 		this.configuration = newConfiguration;
 		this.endpoints.configure(newConfiguration);
 		this.leaseHolderDuties.configure(newConfiguration);
-		this.requestFlow.configure(newConfiguration);
+		this.requestDispatcher.configure(newConfiguration);
 	}
 
 	private void handleDatagram(InetSocketAddress sender, byte[] message) {
@@ -290,11 +290,11 @@
 	}
 
 	private GatewayReport report() {
-		TrafficTotals traffic = new TrafficTotals(this.usage.counts(), this.requestFlow.used(),
+		TrafficTotals traffic = new TrafficTotals(this.usage.counts(), this.requestDispatcher.used(),
 				this.demandEstimator.perService(this.clock.nanos()), endpointLoads(), this.rollouts.report(),
 				rateLimits(this.clock.nanos()));
 		return new GatewayReport(this.incarnation, this.settings.dataCenter(), traffic,
-				this.leaseHolderDuties.holdsLease(), this.sharedState.knownState());
+				this.leaseHolderDuties.holdsLease(), this.sharedState.sharedStateVersion());
 	}
 
 	private Map<EndpointId, EndpointLoad> endpointLoads() {
@@ -332,7 +332,7 @@
 	private void applyFleetView(long now) {
 		this.fleetView = this.peerTable.view(now);
 		this.readDelegation.update(this.fleetView);
-		this.requestFlow.fleet(this.fleetView.others() + 1, this.fleetView.reachableShare());
+		this.requestDispatcher.fleet(this.fleetView.others() + 1, this.fleetView.reachableShare());
 		this.placementRule.unreachable(this.fleetView.unreachableDataCenters());
 		applyRateLimits(now);
 		this.rollouts.decided(this.fleetView.rollouts().rollouts(), now);
@@ -377,17 +377,17 @@
 	 */
 	public void stop() throws InterruptedException {
 		this.eventLoop.execute(() -> this.stopping = true);
-		new GracefulShutdown(this.eventLoop, this.clock, this.callerServer, this.requestFlow)
+		new GracefulShutdown(this.eventLoop, this.clock, this.callerServer, this.requestDispatcher)
 			.run(this.settings.stopTime());
 	}
 
 	/**
 	 * The clocks of a gateway.
 	 *
-	 * @param steady the monotonic clock
+	 * @param monotonic the monotonic clock
 	 * @param wall the time of day
 	 */
-	public record Clocks(SteadyClock steady, InstantSource wall) {
+	public record Clocks(MonotonicClock monotonic, InstantSource wall) {
 	}
 
 	/**
@@ -396,7 +396,7 @@
 	 * @param topics the store
 	 * @param duties the calls that one gateway makes for the whole fleet
 	 */
-	public record Ports(SharedTopics topics, Duties duties) {
+	public record Ports(TopicStore topics, Duties duties) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayMetrics.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayMetrics.java
@@ -106,23 +106,23 @@
 	}
 
 	@Override
-	public void rejected(RejectionFacts facts) {
-		this.requests.labelValues(facts.kind().code()).inc();
+	public void rejected(RejectedRequest request) {
+		this.requests.labelValues(request.kind().code()).inc();
 		if (tryAcquireLine()) {
 			log.atInfo()
-				.addKeyValue("requestId", facts.requestId())
-				.addKeyValue("error", facts.kind().code())
-				.addKeyValue("status", facts.kind().status())
-				.addKeyValue("retryAfterMs", (facts.retryAfter() != null) ? facts.retryAfter().toMillis() : null)
-				.addKeyValue("account", facts.account())
-				.addKeyValue("quotaAvailable", facts.quotaAvailable())
-				.addKeyValue("configuration", facts.version())
+				.addKeyValue("requestId", request.requestId())
+				.addKeyValue("error", request.kind().code())
+				.addKeyValue("status", request.kind().status())
+				.addKeyValue("retryAfterMs", (request.retryAfter() != null) ? request.retryAfter().toMillis() : null)
+				.addKeyValue("account", request.account())
+				.addKeyValue("quotaAvailable", request.quotaAvailable())
+				.addKeyValue("configuration", request.version())
 				.log("request rejected");
 		}
 	}
 
 	@Override
-	public void attemptFailed(AttemptFacts attempt, String reason) {
+	public void attemptFailed(FailedAttempt attempt, String reason) {
 		this.failedAttempts.inc();
 		if (tryAcquireLine()) {
 			log.atInfo()
@@ -137,23 +137,23 @@
 	}
 
 	@Override
-	public void ended(RequestFacts facts) {
-		this.requests.labelValues(facts.outcome()).inc();
-		this.requestDuration.observe(facts.elapsed().toNanos() / 1e9);
-		if (facts.untilFirst() != null) {
-			this.firstByteLatency.observe(facts.untilFirst().toNanos() / 1e9);
+	public void ended(EndedRequest request) {
+		this.requests.labelValues(request.outcome()).inc();
+		this.requestDuration.observe(request.elapsed().toNanos() / 1e9);
+		if (request.untilFirst() != null) {
+			this.firstByteLatency.observe(request.untilFirst().toNanos() / 1e9);
 		}
 		if (tryAcquireLine()) {
 			log.atInfo()
-				.addKeyValue("requestId", facts.requestId())
-				.addKeyValue("route", facts.route())
-				.addKeyValue("outcome", facts.outcome())
-				.addKeyValue("status", facts.status())
-				.addKeyValue("endpoint", facts.endpoint())
-				.addKeyValue("attempts", facts.attempts())
-				.addKeyValue("firstByteMs", (facts.untilFirst() != null) ? facts.untilFirst().toMillis() : null)
-				.addKeyValue("elapsedMs", facts.elapsed().toMillis())
-				.addKeyValue("configuration", facts.version())
+				.addKeyValue("requestId", request.requestId())
+				.addKeyValue("route", request.route())
+				.addKeyValue("outcome", request.outcome())
+				.addKeyValue("status", request.status())
+				.addKeyValue("endpoint", request.endpoint())
+				.addKeyValue("attempts", request.attempts())
+				.addKeyValue("firstByteMs", (request.untilFirst() != null) ? request.untilFirst().toMillis() : null)
+				.addKeyValue("elapsedMs", request.elapsed().toMillis())
+				.addKeyValue("configuration", request.version())
 				.log("request ended");
 		}
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GracefulShutdown.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GracefulShutdown.java
@@ -7,8 +7,8 @@
 import io.netty.channel.EventLoop;
 import org.banyancove.gateway.exchange.CallerServer;
 import org.banyancove.gateway.exchange.DrainPhase;
-import org.banyancove.gateway.exchange.RequestFlow;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.exchange.RequestDispatcher;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -38,17 +38,18 @@
 
 	private final EventLoop eventLoop;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final CallerServer callerServer;
 
-	private final RequestFlow requestFlow;
+	private final RequestDispatcher requestDispatcher;
 
-	GracefulShutdown(EventLoop eventLoop, SteadyClock clock, CallerServer callerServer, RequestFlow requestFlow) {
+	GracefulShutdown(EventLoop eventLoop, MonotonicClock clock, CallerServer callerServer,
+			RequestDispatcher requestDispatcher) {
 		this.eventLoop = eventLoop;
 		this.clock = clock;
 		this.callerServer = callerServer;
-		this.requestFlow = requestFlow;
+		this.requestDispatcher = requestDispatcher;
 	}
 
 	/**
@@ -58,19 +59,19 @@
 	 */
 	void run(Duration stopTime) throws InterruptedException {
 		long startedAt = this.clock.nanos();
-		log.atInfo().addKeyValue("inProgress", this.requestFlow.inProgress()).log("stopping");
+		log.atInfo().addKeyValue("inProgress", this.requestDispatcher.inProgress()).log("stopping");
 		this.eventLoop.execute(this.callerServer::stop);
 		TimeUnit.MILLISECONDS.sleep(LONG_REQUESTS_REJECTED_AFTER.toMillis());
-		this.eventLoop.execute(() -> this.requestFlow.drain(DrainPhase.SHORT_ONES));
+		this.eventLoop.execute(() -> this.requestDispatcher.drain(DrainPhase.SHORT_ONES));
 		long deadline = startedAt + stopTime.minus(RESPONSE_FLUSH_TIME).toNanos();
 		long rejectAllAt = deadline - REJECT_ALL_PERIOD.toNanos();
 		while (this.clock.nanos() < deadline && closeIdleConnections() > 0) {
 			if (this.clock.nanos() > rejectAllAt) {
-				this.eventLoop.execute(() -> this.requestFlow.drain(DrainPhase.NONE));
+				this.eventLoop.execute(() -> this.requestDispatcher.drain(DrainPhase.NONE));
 			}
 			TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL.toMillis());
 		}
-		log.atInfo().addKeyValue("inProgress", this.requestFlow.inProgress()).log("stopped");
+		log.atInfo().addKeyValue("inProgress", this.requestDispatcher.inProgress()).log("stopped");
 	}
 
 	// Returns the number of connections that remain.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseHolderDuties.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseHolderDuties.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 import org.banyancove.gateway.configuration.Configuration;
-import org.banyancove.gateway.duty.LeaseKeeper;
+import org.banyancove.gateway.duty.LeaseElector;
 import org.banyancove.gateway.duty.LeaseRecord;
 import org.banyancove.gateway.duty.PeerTable;
 import org.banyancove.gateway.duty.UsageCounter;
-import org.banyancove.gateway.duty.UsagePlan;
 import org.banyancove.gateway.duty.UsageReport;
+import org.banyancove.gateway.duty.UsageReportPlanner;
 import org.banyancove.gateway.rollout.Rollout;
 import org.banyancove.gateway.shared.AppendOutcome;
 import org.banyancove.gateway.shared.Duties;
-import org.banyancove.gateway.shared.SharedTopics;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -35,25 +35,25 @@
 	private static final String LEASE_KEY = "duties";
 
 	/**
-	 * Difference between the progress of the time of day and that of the steady clock
-	 * above which this process counts as paused; the steady clock alone may not show a
+	 * Difference between the progress of the time of day and that of the monotonic clock
+	 * above which this process counts as paused; the monotonic clock alone may not show a
 	 * pause.
 	 */
 	private static final Duration MAXIMUM_CLOCK_DRIFT = Duration.ofMillis(400);
 
-	private final SharedTopics topics;
+	private final TopicStore topics;
 
 	private final Duties duties;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final InstantSource wallClock;
 
 	private final LeaseRecordCodec codec = new LeaseRecordCodec();
 
-	private final LeaseKeeper leaseKeeper;
+	private final LeaseElector leaseElector;
 
-	private final UsagePlan usagePlan;
+	private final UsageReportPlanner usageReportPlanner;
 
 	private final PeerTable peerTable;
 
@@ -69,24 +69,24 @@
 
 	private Instant lastWallTime;
 
-	private long lastSteadyNanos;
+	private long lastMonotonicNanos;
 
 	private boolean previouslyHeld;
 
-	LeaseHolderDuties(SharedTopics topics, Duties duties, SteadyClock clock, InstantSource wallClock,
-			LeaseKeeper leaseKeeper, UsageCounter usage, PeerTable peerTable, EndpointAutoscaler autoscaler,
+	LeaseHolderDuties(TopicStore topics, Duties duties, MonotonicClock clock, InstantSource wallClock,
+			LeaseElector leaseElector, UsageCounter usage, PeerTable peerTable, EndpointAutoscaler autoscaler,
 			RolloutExecutor rolloutExecutor) {
 		this.topics = topics;
 		this.duties = duties;
 		this.clock = clock;
 		this.wallClock = wallClock;
-		this.leaseKeeper = leaseKeeper;
+		this.leaseElector = leaseElector;
 		this.peerTable = peerTable;
 		this.autoscaler = autoscaler;
 		this.rolloutExecutor = rolloutExecutor;
-		this.usagePlan = new UsagePlan(usage, wallClock.instant());
+		this.usageReportPlanner = new UsageReportPlanner(usage, wallClock.instant());
 		this.lastWallTime = wallClock.instant();
-		this.lastSteadyNanos = clock.nanos();
+		this.lastMonotonicNanos = clock.nanos();
 	}
 
 	@Override
@@ -96,8 +96,8 @@
 		}
 		try {
 			LeaseRecord record = this.codec.read(entry.value());
-			this.leaseKeeper.read(record, this.clock.nanos());
-			this.persistedReports = this.leaseKeeper.reports();
+			this.leaseElector.read(record, this.clock.nanos());
+			this.persistedReports = this.leaseElector.reports();
 		}
 		catch (RuntimeException ex) {
 			log.atError()
@@ -109,7 +109,7 @@
 
 	@Override
 	public void readThrough(long nextOffset) {
-		this.leaseKeeper.ends(nextOffset);
+		this.leaseElector.ends(nextOffset);
 	}
 
 	void configure(Configuration configuration) {
@@ -117,55 +117,55 @@
 	}
 
 	boolean holdsLease() {
-		return this.leaseKeeper.holds(this.clock.nanos());
+		return this.leaseElector.holds(this.clock.nanos());
 	}
 
 	void tick() {
 		long now = this.clock.nanos();
 		releaseAfterPause(now);
-		boolean holds = this.leaseKeeper.holds(now);
+		boolean holds = this.leaseElector.holds(now);
 		if (holds != this.previouslyHeld) {
 			this.previouslyHeld = holds;
-			log.atInfo().addKeyValue("fence", this.leaseKeeper.fence()).log(holds ? "lease taken" : "lease lost");
+			log.atInfo().addKeyValue("fence", this.leaseElector.fence()).log(holds ? "lease taken" : "lease lost");
 		}
 		renew(now, holds);
 		if (holds) {
 			this.persistedReports.forEach(this::sendReport);
-			this.autoscaler.tick(this.leaseKeeper.fence(), now);
-			this.rolloutExecutor.tick(this.leaseKeeper.fence(), this.leaseKeeper.rollouts(), now);
+			this.autoscaler.tick(this.leaseElector.fence(), now);
+			this.rolloutExecutor.tick(this.leaseElector.fence(), this.leaseElector.rollouts(), now);
 		}
 	}
 
 	private void releaseAfterPause(long now) {
 		Instant wallTime = this.wallClock.instant();
-		Duration drift = Duration.between(this.lastWallTime, wallTime).minusNanos(now - this.lastSteadyNanos).abs();
+		Duration drift = Duration.between(this.lastWallTime, wallTime).minusNanos(now - this.lastMonotonicNanos).abs();
 		this.lastWallTime = wallTime;
-		this.lastSteadyNanos = now;
+		this.lastMonotonicNanos = now;
 		if (drift.compareTo(MAXIMUM_CLOCK_DRIFT) > 0) {
 			log.atWarn().addKeyValue("driftMs", drift.toMillis()).log("clock moved");
-			this.leaseKeeper.stoodStill(now);
+			this.leaseElector.stoodStill(now);
 		}
 	}
 
 	private void renew(long now, boolean holds) {
-		List<UsageReport> recordedReports = this.leaseKeeper.reports();
-		List<UsageReport> reports = holds ? this.usagePlan.toName(recordedReports, this.wallClock.instant(),
+		List<UsageReport> recordedReports = this.leaseElector.reports();
+		List<UsageReport> reports = holds ? this.usageReportPlanner.toName(recordedReports, this.wallClock.instant(),
 				(window) -> new UsageReport(window, this.peerTable.counted(window))) : recordedReports;
-		List<Rollout> rollouts = holds ? this.rolloutExecutor.rolloutsToPersist() : this.leaseKeeper.rollouts();
-		boolean urgent = !reports.equals(recordedReports) || !rollouts.equals(this.leaseKeeper.rollouts());
-		LeaseRecord renewal = this.leaseKeeper.toAppend(reports, rollouts, urgent, now);
+		List<Rollout> rollouts = holds ? this.rolloutExecutor.rolloutsToPersist() : this.leaseElector.rollouts();
+		boolean urgent = !reports.equals(recordedReports) || !rollouts.equals(this.leaseElector.rollouts());
+		LeaseRecord renewal = this.leaseElector.toAppend(reports, rollouts, urgent, now);
 		if (renewal == null) {
 			return;
 		}
-		this.topics.appendAt(Topic.LEASES, LEASE_KEY, this.codec.write(renewal), this.leaseKeeper.expectedEnd())
+		this.topics.appendAt(Topic.LEASES, LEASE_KEY, this.codec.write(renewal), this.leaseElector.expectedEnd())
 			.whenComplete((outcome, failure) -> {
 				switch (outcome) {
 					case AppendOutcome.Appended appended -> {
-						this.leaseKeeper.appended(renewal, appended.offset(), this.clock.nanos());
-						this.persistedReports = this.leaseKeeper.reports();
+						this.leaseElector.appended(renewal, appended.offset(), this.clock.nanos());
+						this.persistedReports = this.leaseElector.reports();
 					}
-					case AppendOutcome.Moved moved -> this.leaseKeeper.notAppended(renewal);
-					case null -> this.leaseKeeper.notAppended(renewal);
+					case AppendOutcome.Moved moved -> this.leaseElector.notAppended(renewal);
+					case null -> this.leaseElector.notAppended(renewal);
 				}
 			});
 	}
@@ -175,17 +175,18 @@
 		if (this.acknowledgedWindows.contains(window) || !this.pendingWindows.add(window)) {
 			return;
 		}
-		this.duties.reportUsage(this.leaseKeeper.fence(), window, report.counts()).whenComplete((accepted, failure) -> {
-			this.pendingWindows.remove(window);
-			if (Boolean.TRUE.equals(accepted)) {
-				this.acknowledgedWindows.add(window);
-			}
-			log.atInfo()
-				.addKeyValue("window", window)
-				.addKeyValue("taken", accepted)
-				.addKeyValue("cause", (failure != null) ? failure.toString() : null)
-				.log("usage reported");
-		});
+		this.duties.reportUsage(this.leaseElector.fence(), window, report.counts())
+			.whenComplete((accepted, failure) -> {
+				this.pendingWindows.remove(window);
+				if (Boolean.TRUE.equals(accepted)) {
+					this.acknowledgedWindows.add(window);
+				}
+				log.atInfo()
+					.addKeyValue("window", window)
+					.addKeyValue("taken", accepted)
+					.addKeyValue("cause", (failure != null) ? failure.toString() : null)
+					.log("usage reported");
+			});
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessageCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessageCodec.java
@@ -13,7 +13,7 @@
 import org.banyancove.gateway.duty.DataCenterPresence;
 import org.banyancove.gateway.duty.FleetSummary;
 import org.banyancove.gateway.duty.GatewayReport;
-import org.banyancove.gateway.duty.KnownState;
+import org.banyancove.gateway.duty.SharedStateVersion;
 
 /**
  * Writes and reads the messages between gateways, in binary form: parsing them as JSON
@@ -47,7 +47,7 @@
 		out.writeLong(report.incarnation());
 		BinaryFields.writeText(out, report.dataCenter().value());
 		out.writeBoolean(report.holdsLease());
-		writeKnownState(out, report.known());
+		writeSharedState(out, report.known());
 		TrafficTotalsCodec.write(out, report.traffic());
 	}
 
@@ -58,7 +58,7 @@
 		out.writeBoolean(group != null);
 		BinaryFields.writeText(out, (group != null) ? group : "");
 		out.writeLong(summary.leaseHolder());
-		writeKnownState(out, summary.known());
+		writeSharedState(out, summary.known());
 		BinaryFields.writeVarint(out, summary.readers().size());
 		summary.readers().forEach(out::writeLong);
 		BinaryFields.writeVarint(out, summary.presence().size());
@@ -71,12 +71,12 @@
 		TrafficTotalsCodec.write(out, summary.traffic());
 	}
 
-	private static void writeKnownState(ByteBuf out, KnownState knownState) {
-		out.writeBoolean(knownState.reads());
-		out.writeLong(knownState.endpointsNext());
-		out.writeLong(knownState.endpointsDigest());
-		BinaryFields.writeVarint(out, knownState.endpointsAge().toMillis());
-		out.writeLong(knownState.configurationOffset());
+	private static void writeSharedState(ByteBuf out, SharedStateVersion sharedState) {
+		out.writeBoolean(sharedState.reads());
+		out.writeLong(sharedState.endpointsNext());
+		out.writeLong(sharedState.endpointsDigest());
+		BinaryFields.writeVarint(out, sharedState.endpointsAge().toMillis());
+		out.writeLong(sharedState.configurationOffset());
 	}
 
 	/**
@@ -105,8 +105,8 @@
 		long incarnation = in.readLong();
 		DataCenterName dataCenter = new DataCenterName(BinaryFields.readText(in));
 		boolean holdsLease = in.readBoolean();
-		KnownState knownState = readKnownState(in);
-		return new GatewayReport(incarnation, dataCenter, TrafficTotalsCodec.read(in), holdsLease, knownState);
+		SharedStateVersion sharedState = readSharedState(in);
+		return new GatewayReport(incarnation, dataCenter, TrafficTotalsCodec.read(in), holdsLease, sharedState);
 	}
 
 	private static FleetSummary readSummary(ByteBuf in) {
@@ -114,7 +114,7 @@
 		boolean hasGroup = in.readBoolean();
 		String group = BinaryFields.readText(in);
 		long leaseHolder = in.readLong();
-		KnownState knownState = readKnownState(in);
+		SharedStateVersion sharedState = readSharedState(in);
 		List<Long> readers = new ArrayList<>();
 		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			readers.add(in.readLong());
@@ -124,7 +124,7 @@
 			presence.add(readPresence(in));
 		}
 		return new FleetSummary(incarnation, hasGroup ? group : null, presence, TrafficTotalsCodec.read(in),
-				leaseHolder, knownState, readers);
+				leaseHolder, sharedState, readers);
 	}
 
 	private static DataCenterPresence readPresence(ByteBuf in) {
@@ -134,8 +134,8 @@
 		return new DataCenterPresence(dataCenter, gateways, reachable, in.readBoolean());
 	}
 
-	private static KnownState readKnownState(ByteBuf in) {
-		return new KnownState(in.readBoolean(), in.readLong(), in.readLong(),
+	private static SharedStateVersion readSharedState(ByteBuf in) {
+		return new SharedStateVersion(in.readBoolean(), in.readLong(), in.readLong(),
 				Duration.ofMillis(BinaryFields.readVarint(in)), in.readLong());
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/ReadDelegation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/ReadDelegation.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 import org.banyancove.gateway.duty.FleetView;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 
 /**
  * Decides whether a gateway delegates its reads of the store to the aggregators.
@@ -27,7 +27,7 @@
 	 */
 	private static final Duration MISSING_HOLDER_TIMEOUT = Duration.ofSeconds(5);
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final long incarnation;
 
@@ -39,10 +39,10 @@
 
 	/**
 	 * Creates the delegation. A process that starts has no state and reads on its own.
-	 * @param clock the steady clock
+	 * @param clock the monotonic clock
 	 * @param incarnation the incarnation of this process
 	 */
-	ReadDelegation(SteadyClock clock, long incarnation) {
+	ReadDelegation(MonotonicClock clock, long incarnation) {
 		this.clock = clock;
 		this.incarnation = incarnation;
 		this.readersLastSeenAt = clock.nanos() - MISSING_READERS_TIMEOUT.toNanos();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutExecutor.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutExecutor.java
@@ -17,7 +17,7 @@
 import org.banyancove.gateway.endpoint.EndpointTable;
 import org.banyancove.gateway.rollout.Rollout;
 import org.banyancove.gateway.rollout.RolloutController;
-import org.banyancove.gateway.rollout.RolloutController.VersionCounts;
+import org.banyancove.gateway.rollout.RolloutController.EndpointCounts;
 import org.banyancove.gateway.rollout.RolloutOrder;
 import org.banyancove.gateway.rollout.RolloutReport;
 import org.banyancove.gateway.rollout.RolloutStage;
@@ -84,7 +84,7 @@
 	 * Decides the next steps.
 	 * @param newFence the fence of the lease
 	 * @param recordedRollouts the rollouts that the lease record contains
-	 * @param now the current time of the steady clock
+	 * @param now the current time of the monotonic clock
 	 */
 	void tick(long newFence, List<Rollout> recordedRollouts, long now) {
 		if (newFence != this.fence) {
@@ -161,7 +161,7 @@
 			.orElse("");
 	}
 
-	private VersionCounts countVersions(RolloutOrder order) {
+	private EndpointCounts countVersions(RolloutOrder order) {
 		int candidate = 0;
 		int baseline = 0;
 		for (Endpoint endpoint : this.endpoints.listed(order.service())) {
@@ -175,7 +175,7 @@
 				baseline++;
 			}
 		}
-		return new VersionCounts(baseline, candidate);
+		return new EndpointCounts(baseline, candidate);
 	}
 
 	private void publish(Rollout rollout, long now) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutStatusPublisher.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutStatusPublisher.java
@@ -12,9 +12,9 @@
 import org.banyancove.gateway.shared.AppendOutcome;
 import org.banyancove.gateway.shared.RecordCodec;
 import org.banyancove.gateway.shared.RecordCodec.StatusRecord;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -33,7 +33,7 @@
 	/** Delay between two attempts. */
 	private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
-	private final SharedTopics topics;
+	private final TopicStore topics;
 
 	private final RecordCodec codec;
 
@@ -43,7 +43,7 @@
 
 	private final Set<ServiceName> pendingWrites = new HashSet<>();
 
-	RolloutStatusPublisher(SharedTopics topics, RecordCodec codec) {
+	RolloutStatusPublisher(TopicStore topics, RecordCodec codec) {
 		this.topics = topics;
 		this.codec = codec;
 	}
@@ -51,7 +51,7 @@
 	/**
 	 * Writes the state of a rollout unless the topic already contains it.
 	 * @param rollout the rollout
-	 * @param now the current time of the steady clock
+	 * @param now the current time of the monotonic clock
 	 */
 	void publish(Rollout rollout, long now) {
 		ServiceName service = rollout.order().service();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/SharedStateFollower.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/SharedStateFollower.java
@@ -14,15 +14,15 @@
 import io.netty.channel.EventLoop;
 import org.banyancove.core.EndpointId;
 import org.banyancove.gateway.configuration.Configuration;
-import org.banyancove.gateway.duty.KnownState;
+import org.banyancove.gateway.duty.SharedStateVersion;
 import org.banyancove.gateway.endpoint.EndpointEntry;
 import org.banyancove.gateway.endpoint.EndpointTable;
 import org.banyancove.gateway.rollout.RolloutOrder;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.banyancove.gateway.shared.RecordCodec;
-import org.banyancove.gateway.shared.SharedTopics;
-import org.banyancove.gateway.shared.SteadyClock;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -108,7 +108,7 @@
 
 	private final EndpointTable endpoints;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final BooleanSupplier readsDelegated;
 
@@ -152,7 +152,7 @@
 	 * Creates the follower.
 	 * @param topics the store
 	 * @param eventLoop the event loop that runs all work
-	 * @param clock the steady clock
+	 * @param clock the monotonic clock
 	 * @param recordCodec the codec of records
 	 * @param endpoints the table to keep up to date
 	 * @param readsDelegated whether other gateways read the store for this one
@@ -164,7 +164,7 @@
 	 * new
 	 * @param changeDeadline the time within which a change in the store must be in force
 	 */
-	SharedStateFollower(SharedTopics topics, EventLoop eventLoop, SteadyClock clock, RecordCodec recordCodec,
+	SharedStateFollower(TopicStore topics, EventLoop eventLoop, MonotonicClock clock, RecordCodec recordCodec,
 			EndpointTable endpoints, BooleanSupplier readsDelegated, Supplier<Duration> maximumRetryDelay,
 			Consumer<RelayedRecords> relay, Consumer<RelayedRecords> forward,
 			Consumer<Configuration> configurationListener, Predicate<RolloutOrder> rolloutOrderListener,
@@ -201,12 +201,12 @@
 		return this.configuration != null && this.endpointFollower.complete();
 	}
 
-	KnownState knownState() {
+	SharedStateVersion sharedStateVersion() {
 		boolean reads = this.endpointFollower.hasReadWithin(MAXIMUM_ENDPOINTS_READ_AGE)
 				&& this.configurationFollower.hasReadWithin(MAXIMUM_CONFIGURATION_READ_AGE);
 		long digest = this.digests.values().stream().mapToLong(Long::longValue).sum();
-		return new KnownState(reads, this.endpointFollower.knownEndOffset(), digest, endpointsAge(this.clock.nanos()),
-				this.configurationOffset);
+		return new SharedStateVersion(reads, this.endpointFollower.knownEndOffset(), digest,
+				endpointsAge(this.clock.nanos()), this.configurationOffset);
 	}
 
 	/**
@@ -216,7 +216,7 @@
 	 */
 	Duration endpointsAge(long now) {
 		Duration age = this.endpointFollower.age(now);
-		return (age != null) ? age : KnownState.UNKNOWN_AGE;
+		return (age != null) ? age : SharedStateVersion.UNKNOWN_AGE;
 	}
 
 	/**
@@ -251,8 +251,8 @@
 	 * @param mostRecent the most recent state of a reader
 	 * @param now the current time
 	 */
-	void reconcile(KnownState mostRecent, long now) {
-		KnownState own = knownState();
+	void reconcile(SharedStateVersion mostRecent, long now) {
+		SharedStateVersion own = sharedStateVersion();
 		if (own.confirmedBy(mostRecent)) {
 			this.endpointFollower.confirm(now - mostRecent.endpointsAge().toNanos());
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TopicFollower.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TopicFollower.java
@@ -10,11 +10,11 @@
 import java.util.function.BooleanSupplier;
 
 import io.netty.channel.EventLoop;
-import org.banyancove.gateway.shared.SharedTopics;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,11 +38,11 @@
 
 	private final Topic topic;
 
-	private final SharedTopics topics;
+	private final TopicStore topics;
 
 	private final EventLoop eventLoop;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final PollingPolicy pollingPolicy;
 
@@ -78,8 +78,8 @@
 
 	private long listedEndOffset;
 
-	TopicFollower(Topic topic, SharedTopics topics, EventLoop eventLoop, SteadyClock clock, PollingPolicy pollingPolicy,
-			BooleanSupplier readsDelegated, Listener listener) {
+	TopicFollower(Topic topic, TopicStore topics, EventLoop eventLoop, MonotonicClock clock,
+			PollingPolicy pollingPolicy, BooleanSupplier readsDelegated, Listener listener) {
 		this.topic = topic;
 		this.topics = topics;
 		this.eventLoop = eventLoop;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
@@ -36,7 +36,7 @@
 
 	private long leaseHolder;
 
-	private KnownState sharedState = KnownState.NONE;
+	private SharedStateVersion sharedState = SharedStateVersion.NONE;
 
 	/**
 	 * Adds the report of a gateway.
@@ -109,7 +109,7 @@
 					ObservedRateLimit::newerOf));
 	}
 
-	private void updateSharedState(KnownState candidate) {
+	private void updateSharedState(SharedStateVersion candidate) {
 		if (candidate.reads() && (!this.sharedState.reads() || candidate.isNewerThan(this.sharedState))) {
 			this.sharedState = candidate;
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetSummary.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetSummary.java
@@ -16,7 +16,7 @@
  * @param readers the incarnations of the processes that read the store, the lowest first
  */
 public record FleetSummary(long incarnation, @Nullable String group, List<DataCenterPresence> presence,
-		TrafficTotals traffic, long leaseHolder, KnownState known, List<Long> readers) {
+		TrafficTotals traffic, long leaseHolder, SharedStateVersion known, List<Long> readers) {
 
 	/**
 	 * Creates a summary.
@@ -40,8 +40,8 @@
 	 */
 	FleetSummary stale() {
 		return new FleetSummary(this.incarnation, this.group,
-				this.presence.stream().map(DataCenterPresence::stale).toList(), TrafficTotals.NONE, 0, KnownState.NONE,
-				List.of());
+				this.presence.stream().map(DataCenterPresence::stale).toList(), TrafficTotals.NONE, 0,
+				SharedStateVersion.NONE, List.of());
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetView.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetView.java
@@ -30,12 +30,12 @@
  */
 public record FleetView(int others, double reachableShare, Set<DataCenterName> unreachableDataCenters,
 		Map<EndpointId, EndpointLoad> loads, Map<ServiceName, Double> work, RolloutReport rollouts,
-		Map<EndpointId, ObservedRateLimit> rateLimits, boolean leaseHeld, KnownState known, List<Long> readers,
+		Map<EndpointId, ObservedRateLimit> rateLimits, boolean leaseHeld, SharedStateVersion known, List<Long> readers,
 		boolean aggregates) {
 
 	/** The view of a gateway without known peers. */
 	public static final FleetView ALONE = new FleetView(0, 1, Set.of(), Map.of(), Map.of(), RolloutReport.NONE,
-			Map.of(), false, KnownState.NONE, List.of(), true);
+			Map.of(), false, SharedStateVersion.NONE, List.of(), true);
 
 	/**
 	 * Gateways that read the store on behalf of the fleet: with three, changes still
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/GatewayReport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/GatewayReport.java
@@ -13,6 +13,6 @@
  * @param known the version of the shared state that it has applied
  */
 public record GatewayReport(long incarnation, DataCenterName dataCenter, TrafficTotals traffic, boolean holdsLease,
-		KnownState known) {
+		SharedStateVersion known) {
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseKeeper.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseElector.java
@@ -19,7 +19,7 @@
  * Performs no I/O and reads no clock: times are passed in, in nanoseconds of the
  * monotonic clock.
  */
-public final class LeaseKeeper {
+public final class LeaseElector {
 
 	/**
 	 * Fraction of the lease for which the holder acts. The remainder covers calls in
@@ -70,14 +70,14 @@
 	private long pendingSince;
 
 	/**
-	 * Creates a lease keeper that does not hold the lease.
+	 * Creates an elector that does not hold the lease.
 	 * @param name the gateway's name
 	 * @param incarnation the incarnation of this process
 	 * @param lease the duration of a lease
 	 * @param jitter a random number from 0 to 1 that spreads the claims of the gateways
 	 * @param now the current time
 	 */
-	public LeaseKeeper(String name, long incarnation, Duration lease, double jitter, long now) {
+	public LeaseElector(String name, long incarnation, Duration lease, double jitter, long now) {
 		this.name = name;
 		this.incarnation = incarnation;
 		this.leaseNanos = lease.toNanos();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
@@ -66,7 +66,7 @@
 	public PeerTable(long incarnation, DataCenterName dataCenter) {
 		this.incarnation = incarnation;
 		this.dataCenter = dataCenter;
-		this.own = new GatewayReport(incarnation, dataCenter, TrafficTotals.NONE, false, KnownState.NONE);
+		this.own = new GatewayReport(incarnation, dataCenter, TrafficTotals.NONE, false, SharedStateVersion.NONE);
 	}
 
 	/**
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
@@ -89,8 +89,8 @@
 	 * @return the orders; none for an unreachable data centre, whose previous orders
 	 * remain in effect
 	 */
-	public List<Order> decide(ScalingLimits limits, Collection<EndpointEntry> listed, double demand, int inFlight,
-			boolean reclaimableAvailable, long now) {
+	public List<CapacityOrder> decide(ScalingLimits limits, Collection<EndpointEntry> listed, double demand,
+			int inFlight, boolean reclaimableAvailable, long now) {
 		List<DataCenterName> all = new ArrayList<>(limits.zonePrices().keySet());
 		all.sort(Comparator
 			.comparingDouble((DataCenterName dataCenter) -> limits.zonePrices().getOrDefault(dataCenter, 1.0))
@@ -144,17 +144,17 @@
 		return listed.stream().mapToInt(EndpointEntry::slots).min().orElse(1);
 	}
 
-	private List<Order> orders(List<DataCenterName> dataCenters, Map<DataCenterName, Integer> onDemand,
+	private List<CapacityOrder> orders(List<DataCenterName> dataCenters, Map<DataCenterName, Integer> onDemand,
 			@Nullable Map<DataCenterName, Integer> reclaimable, ScalingLimits limits) {
 		this.onDemandOrdered = onDemand;
-		List<Order> orders = new ArrayList<>();
+		List<CapacityOrder> orders = new ArrayList<>();
 		for (DataCenterName dataCenter : dataCenters) {
 			int onDemandHere = onDemand.getOrDefault(dataCenter, 0);
 			int desiredHere = (reclaimable != null) ? reclaimable.getOrDefault(dataCenter, 0) : 0;
 			int reclaimableHere = Math.min(desiredHere, limits.most() - onDemandHere);
-			orders.add(new Order(dataCenter, false, Math.max(onDemandHere, limits.fewest() - reclaimableHere)));
+			orders.add(new CapacityOrder(dataCenter, false, Math.max(onDemandHere, limits.fewest() - reclaimableHere)));
 			if (reclaimable != null) {
-				orders.add(new Order(dataCenter, true, reclaimableHere));
+				orders.add(new CapacityOrder(dataCenter, true, reclaimableHere));
 			}
 		}
 		return orders;
@@ -235,7 +235,7 @@
 	 * @param reclaimable whether the endpoints are reclaimable or on-demand
 	 * @param count the desired number of endpoints
 	 */
-	public record Order(DataCenterName zone, boolean reclaimable, int count) {
+	public record CapacityOrder(DataCenterName zone, boolean reclaimable, int count) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/KnownState.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/SharedStateVersion.java
@@ -12,14 +12,14 @@
  * @param endpointsAge the time since the endpoints were last read from the store
  * @param configurationOffset the offset of the applied configuration, -1 for none
  */
-public record KnownState(boolean reads, long endpointsNext, long endpointsDigest, Duration endpointsAge,
+public record SharedStateVersion(boolean reads, long endpointsNext, long endpointsDigest, Duration endpointsAge,
 		long configurationOffset) {
 
 	/** Age of endpoints that were never read. */
 	public static final Duration UNKNOWN_AGE = Duration.ofDays(1);
 
 	/** No shared state. */
-	public static final KnownState NONE = new KnownState(false, 0, 0, UNKNOWN_AGE, -1);
+	public static final SharedStateVersion NONE = new SharedStateVersion(false, 0, 0, UNKNOWN_AGE, -1);
 
 	/**
 	 * Returns whether this gateway has missed changes of endpoints that another one has
@@ -27,7 +27,7 @@
 	 * @param other the state of the other gateway
 	 * @return {@code true} if the other offset is not lower and the digests differ
 	 */
-	public boolean missesEndpointsOf(KnownState other) {
+	public boolean missesEndpointsOf(SharedStateVersion other) {
 		return other.endpointsNext >= this.endpointsNext && other.endpointsDigest != this.endpointsDigest;
 	}
 
@@ -36,7 +36,7 @@
 	 * @param other the state of the other gateway
 	 * @return {@code true} if the other gateway reads the store and the digests are equal
 	 */
-	public boolean confirmedBy(KnownState other) {
+	public boolean confirmedBy(SharedStateVersion other) {
 		return other.reads && other.endpointsDigest == this.endpointsDigest;
 	}
 
@@ -46,7 +46,7 @@
 	 * @return {@code true} if its offset is higher, or the offsets are equal and its age
 	 * is lower
 	 */
-	boolean isNewerThan(KnownState other) {
+	boolean isNewerThan(SharedStateVersion other) {
 		return (this.endpointsNext != other.endpointsNext) ? this.endpointsNext > other.endpointsNext
 				: this.endpointsAge.compareTo(other.endpointsAge) < 0;
 	}
@@ -56,9 +56,9 @@
 	 * @param elapsed the time since the state was reported
 	 * @return the aged state
 	 */
-	KnownState aged(Duration elapsed) {
-		return new KnownState(this.reads, this.endpointsNext, this.endpointsDigest, this.endpointsAge.plus(elapsed),
-				this.configurationOffset);
+	SharedStateVersion aged(Duration elapsed) {
+		return new SharedStateVersion(this.reads, this.endpointsNext, this.endpointsDigest,
+				this.endpointsAge.plus(elapsed), this.configurationOffset);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsagePlan.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageReportPlanner.java
@@ -13,7 +13,7 @@
  * reported its counts. It is recorded with the lease before it is sent, so that a
  * successor sends identical counts.
  */
-public final class UsagePlan {
+public final class UsageReportPlanner {
 
 	/**
 	 * Delay from the end of a window until its counts are final: several times the
@@ -29,12 +29,12 @@
 	private final long firstWindow;
 
 	/**
-	 * Creates a plan.
+	 * Creates a planner.
 	 * @param windows the counter that numbers the windows
 	 * @param start the time at which this process started; it has no counts of earlier
 	 * windows
 	 */
-	public UsagePlan(UsageCounter windows, Instant start) {
+	public UsageReportPlanner(UsageCounter windows, Instant start) {
 		this.windows = windows;
 		this.firstWindow = windows.windowOf(start);
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Endpoint.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Endpoint.java
@@ -103,17 +103,17 @@
 
 	private long backoffUntil = Long.MIN_VALUE;
 
-	private final RateLimitAllotment allotment;
+	private final RateLimitAllocation allocation;
 
 	private EndpointRateLimiter rateLimiter;
 
 	private @Nullable Long unlistedAt;
 
 	Endpoint(EndpointEntry entry, @Nullable EngineMemory memory, PrefillLatency prefillLatency,
-			RateLimitAllotment allotment) {
+			RateLimitAllocation allocation) {
 		this.entry = entry;
-		this.allotment = allotment;
-		this.rateLimiter = new EndpointRateLimiter(entry.id(), allotment);
+		this.allocation = allocation;
+		this.rateLimiter = new EndpointRateLimiter(entry.id(), allocation);
 		this.prefillLatency = prefillLatency;
 		this.memory = memory;
 		this.cache = emptyCache();
@@ -165,7 +165,7 @@
 			this.consecutiveFailures = 0;
 			this.failureRate = 0;
 			this.backoffUntil = Long.MIN_VALUE;
-			this.rateLimiter = new EndpointRateLimiter(newer.id(), this.allotment);
+			this.rateLimiter = new EndpointRateLimiter(newer.id(), this.allocation);
 		}
 		this.entry = newer;
 		this.unlistedAt = null;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointRateLimiter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointRateLimiter.java
@@ -32,7 +32,7 @@
 
 	private final EndpointId endpoint;
 
-	private final RateLimitAllotment allotment;
+	private final RateLimitAllocation allocation;
 
 	private @Nullable Double limit;
 
@@ -46,9 +46,9 @@
 
 	private long refilledAt;
 
-	EndpointRateLimiter(EndpointId endpoint, RateLimitAllotment allotment) {
+	EndpointRateLimiter(EndpointId endpoint, RateLimitAllocation allocation) {
 		this.endpoint = endpoint;
-		this.allotment = allotment;
+		this.allocation = allocation;
 	}
 
 	/**
@@ -133,7 +133,7 @@
 			return;
 		}
 		long rotation = Math.max(0, now - this.observedAt) / ROTATION_INTERVAL.toNanos();
-		double newShare = this.allotment.share(this.endpoint, effectiveRate(this.limit), rotation);
+		double newShare = this.allocation.share(this.endpoint, effectiveRate(this.limit), rotation);
 		if (this.share == 0 || newShare == 0) {
 			this.tokens = 0;
 			this.refilledAt = now;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
@@ -39,16 +39,16 @@
 
 	private final Map<ServiceName, PrefillLatency> prefillLatencies = new HashMap<>();
 
-	private final RateLimitAllotment rateLimitAllotment;
+	private final RateLimitAllocation rateLimitAllocation;
 
 	private @Nullable Configuration configuration;
 
 	/**
 	 * Creates the table.
-	 * @param rateLimitAllotment allocates the rate limits of endpoints to the gateways
+	 * @param rateLimitAllocation allocates the rate limits of endpoints to the gateways
 	 */
-	public EndpointTable(RateLimitAllotment rateLimitAllotment) {
-		this.rateLimitAllotment = rateLimitAllotment;
+	public EndpointTable(RateLimitAllocation rateLimitAllocation) {
+		this.rateLimitAllocation = rateLimitAllocation;
 	}
 
 	/**
@@ -82,7 +82,7 @@
 		else {
 			Endpoint added = new Endpoint(entry, null,
 					this.prefillLatencies.computeIfAbsent(entry.service(), (service) -> new PrefillLatency()),
-					this.rateLimitAllotment);
+					this.rateLimitAllocation);
 			applyConfiguration(added);
 			this.endpoints.put(entry.id(), added);
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
@@ -15,7 +15,7 @@
 /**
  * One attempt to send a request to an endpoint.
  */
-final class Attempt implements AnswerListener {
+final class Attempt implements ResponseListener {
 
 	/** A non-streaming response is buffered until it is known to be valid. */
 	private static final int MAXIMUM_BUFFERED_BYTES = 16 << 20;
@@ -90,8 +90,8 @@
 		return Duration.ofNanos(this.exchange.now() - this.sentAt);
 	}
 
-	RequestLog.AttemptFacts describe() {
-		return new RequestLog.AttemptFacts(this.exchange.requestId(), this.endpoint.id().value(), this.number,
+	RequestLog.FailedAttempt describe() {
+		return new RequestLog.FailedAttempt(this.exchange.requestId(), this.endpoint.id().value(), this.number,
 				this.predictedMillis, elapsed());
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerServer.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/CallerServer.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import org.banyancove.core.error.ErrorKind;
 import org.banyancove.gateway.configuration.CallerLimits;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,11 +30,11 @@
 
 	private final EventLoopGroup eventLoops;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final Supplier<CallerLimits> limits;
 
-	private final RequestFlow dispatcher;
+	private final RequestDispatcher dispatcher;
 
 	private final Set<CallerConnection> connections = new HashSet<>();
 
@@ -47,8 +47,8 @@
 	 * @param limits supplies the current limits
 	 * @param dispatcher handles the requests
 	 */
-	public CallerServer(EventLoopGroup eventLoops, SteadyClock clock, Supplier<CallerLimits> limits,
-			RequestFlow dispatcher) {
+	public CallerServer(EventLoopGroup eventLoops, MonotonicClock clock, Supplier<CallerLimits> limits,
+			RequestDispatcher dispatcher) {
 		this.eventLoops = eventLoops;
 		this.clock = clock;
 		this.limits = limits;
@@ -105,7 +105,7 @@
 		return this.limits.get();
 	}
 
-	SteadyClock clock() {
+	MonotonicClock clock() {
 		return this.clock;
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientCall.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientCall.java
@@ -12,13 +12,13 @@
 
 	private final FullHttpRequest request;
 
-	private final AnswerListener listener;
+	private final ResponseListener listener;
 
 	private @Nullable ClientConnection connection;
 
 	private boolean ended;
 
-	ClientCall(FullHttpRequest request, AnswerListener listener) {
+	ClientCall(FullHttpRequest request, ResponseListener listener) {
 		this.request = request;
 		this.listener = listener;
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnection.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnection.java
@@ -38,7 +38,7 @@
 	 */
 	private static final Duration KEEP_ALIVE_MARGIN = Duration.ofMillis(1200);
 
-	private final ClientConnections pool;
+	private final ConnectionPool pool;
 
 	private final InetSocketAddress address;
 
@@ -58,7 +58,7 @@
 
 	private Duration keepAliveTimeout = DEFAULT_KEEP_ALIVE;
 
-	ClientConnection(ClientConnections pool, InetSocketAddress address, Channel channel) {
+	ClientConnection(ConnectionPool pool, InetSocketAddress address, Channel channel) {
 		this.pool = pool;
 		this.address = address;
 		this.channel = channel;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ClientConnections.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ConnectionPool.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
 import jdk.net.ExtendedSocketOptions;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -27,7 +27,7 @@
  * The most recently used idle connection is reused first: it is the least likely to be
  * dead, and the others can expire.
  */
-public final class ClientConnections {
+public final class ConnectionPool {
 
 	/**
 	 * TCP keep-alive probes, with the interval and count below, detect a dead peer after
@@ -47,7 +47,7 @@
 
 	private final EventLoop eventLoop;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final Map<InetSocketAddress, Deque<ClientConnection>> idleConnections = new HashMap<>();
 
@@ -58,7 +58,7 @@
 	 * @param eventLoop the event loop that serves the connections
 	 * @param clock the monotonic clock
 	 */
-	public ClientConnections(EventLoop eventLoop, SteadyClock clock) {
+	public ConnectionPool(EventLoop eventLoop, MonotonicClock clock) {
 		this.eventLoop = eventLoop;
 		this.clock = clock;
 	}
@@ -73,7 +73,7 @@
 	 * @return the call
 	 */
 	public ClientCall call(InetSocketAddress address, FullHttpRequest request, CallOptions options,
-			AnswerListener listener) {
+			ResponseListener listener) {
 		ClientCall call = new ClientCall(request, listener);
 		ClientConnection pooled = acquireIdle(address, options);
 		if (pooled != null) {
@@ -127,7 +127,7 @@
 					channel.pipeline()
 						.addLast(new HttpClientCodec(MAXIMUM_INITIAL_LINE_BYTES, MAXIMUM_HEADER_BYTES,
 								MAXIMUM_CHUNK_BYTES))
-						.addLast(new ClientConnection(ClientConnections.this, address, channel));
+						.addLast(new ClientConnection(ConnectionPool.this, address, channel));
 				}
 			});
 		ChannelFuture connectFuture = bootstrap.connect(address);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
@@ -62,7 +62,7 @@
 	/** The retry delay reported to the caller of a request that was not run. */
 	private static final Duration RETRY_AFTER = Duration.ofMillis(400);
 
-	private final RequestFlow dispatcher;
+	private final RequestDispatcher dispatcher;
 
 	private final CallerConnection caller;
 
@@ -106,7 +106,7 @@
 
 	private @Nullable ScheduledFuture<?> placementTimer;
 
-	Exchange(RequestFlow dispatcher, CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
+	Exchange(RequestDispatcher dispatcher, CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
 			RoutingDecision.Accepted accepted) {
 		this.dispatcher = dispatcher;
 		this.caller = caller;
@@ -500,7 +500,7 @@
 				? Duration.ofNanos(this.firstByteAt - this.request.arrivedAt()) : null;
 		String endpoint = (this.currentAttempt != null) ? this.currentAttempt.endpoint().id().value() : null;
 		this.dispatcher.requestLog()
-			.ended(new RequestLog.RequestFacts(this.requestId, this.route.name(), outcome, status, endpoint,
+			.ended(new RequestLog.EndedRequest(this.requestId, this.route.name(), outcome, status, endpoint,
 					this.attempts, timeToFirstByte, elapsed(), this.configurationVersion));
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestFlow.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestDispatcher.java
@@ -27,13 +27,13 @@
 import org.banyancove.gateway.rollout.ServingEndpoints;
 import org.banyancove.gateway.shared.CallerHeaders;
 import org.banyancove.gateway.shared.HeaderCodec;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 import org.jspecify.annotations.Nullable;
 
 /**
  * Admits and routes the callers' requests, and holds the state that they share.
  */
-public final class RequestFlow {
+public final class RequestDispatcher {
 
 	/**
 	 * The share of the fleet's retry budget in use. The remainder covers gateways that
@@ -50,7 +50,7 @@
 
 	private final EventLoop eventLoop;
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final InstantSource wallClock;
 
@@ -58,7 +58,7 @@
 
 	private final HeaderCodec headerCodec;
 
-	private final ClientConnections connections;
+	private final ConnectionPool connections;
 
 	private final ServingEndpoints endpoints;
 
@@ -107,8 +107,8 @@
 	 * @param requestLog receives the outcomes of requests
 	 * @param retryLimits the retry limits of the fleet
 	 */
-	public RequestFlow(EventLoop eventLoop, SteadyClock clock, InstantSource wallClock, RandomGenerator random,
-			HeaderCodec headerCodec, ClientConnections connections, ServingEndpoints endpoints,
+	public RequestDispatcher(EventLoop eventLoop, MonotonicClock clock, InstantSource wallClock, RandomGenerator random,
+			HeaderCodec headerCodec, ConnectionPool connections, ServingEndpoints endpoints,
 			BooleanSupplier endpointsCurrent, PlacementRule placement, Meters meters, RequestLog requestLog,
 			RetryLimits retryLimits) {
 		this.eventLoop = eventLoop;
@@ -247,7 +247,7 @@
 				requestHeaders, this.random.nextDouble());
 		return switch (decision) {
 			case RoutingDecision.Rejected rejected -> {
-				reject(caller, new RequestLog.RejectionFacts(requestHeaders.requestId(), rejected.kind(),
+				reject(caller, new RequestLog.RejectedRequest(requestHeaders.requestId(), rejected.kind(),
 						rejected.retryAfter(), null, null, configurationVersion()));
 				yield InFlightRequest.NO_OP;
 			}
@@ -257,7 +257,7 @@
 
 	private InFlightRequest begin(CallerConnection caller, CallerRequest request, CallerHeaders requestHeaders,
 			RoutingDecision.Accepted accepted) {
-		RequestLog.RejectionFacts rejection = chargeQuota(accepted.account(), requestHeaders);
+		RequestLog.RejectedRequest rejection = chargeQuota(accepted.account(), requestHeaders);
 		if (rejection != null) {
 			reject(caller, rejection);
 			return InFlightRequest.NO_OP;
@@ -269,24 +269,24 @@
 		return exchange;
 	}
 
-	private RequestLog.@Nullable RejectionFacts chargeQuota(@Nullable ClientAccount account,
+	private RequestLog.@Nullable RejectedRequest chargeQuota(@Nullable ClientAccount account,
 			CallerHeaders requestHeaders) {
 		QuotaLimiter limiter = (account != null) ? limiter(account.name()) : null;
 		if (account == null || limiter == null || limiter
 			.tryAcquire(limiter.quota().costOf(requestHeaders.prompt().totalTokens()), this.clock.nanos())) {
 			return null;
 		}
-		return new RequestLog.RejectionFacts(requestHeaders.requestId(), ErrorKind.ACCOUNT_OVER_LIMIT,
+		return new RequestLog.RejectedRequest(requestHeaders.requestId(), ErrorKind.ACCOUNT_OVER_LIMIT,
 				limiter.retryAfter(), account.name(), Math.round(limiter.available()), configurationVersion());
 	}
 
-	private void reject(CallerConnection caller, RequestLog.RejectionFacts rejection) {
+	private void reject(CallerConnection caller, RequestLog.RejectedRequest rejection) {
 		this.requestLog.rejected(rejection);
 		caller.respond(ErrorResponse.of(rejection.kind(), rejection.retryAfter()));
 	}
 
 	void rejectedBeforeRead(ErrorKind kind) {
-		this.requestLog.rejected(new RequestLog.RejectionFacts(null, kind, null, null, null, configurationVersion()));
+		this.requestLog.rejected(new RequestLog.RejectedRequest(null, kind, null, null, null, configurationVersion()));
 	}
 
 	void ended() {
@@ -316,7 +316,7 @@
 		return this.eventLoop;
 	}
 
-	SteadyClock clock() {
+	MonotonicClock clock() {
 		return this.clock;
 	}
 
@@ -332,7 +332,7 @@
 		return this.headerCodec;
 	}
 
-	ClientConnections connections() {
+	ConnectionPool connections() {
 		return this.connections;
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestLog.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestLog.java
@@ -14,22 +14,22 @@
 
 	/**
 	 * Called when a request was rejected without an attempt at an endpoint.
-	 * @param facts the rejected request
+	 * @param request the rejected request
 	 */
-	void rejected(RejectionFacts facts);
+	void rejected(RejectedRequest request);
 
 	/**
 	 * Called when an attempt at an endpoint failed, or the endpoint rejected the request.
 	 * @param attempt the attempt
 	 * @param reason the reason
 	 */
-	void attemptFailed(AttemptFacts attempt, String reason);
+	void attemptFailed(FailedAttempt attempt, String reason);
 
 	/**
 	 * Called when a request has ended.
-	 * @param facts the request
+	 * @param request the request
 	 */
-	void ended(RequestFacts facts);
+	void ended(EndedRequest request);
 
 	/**
 	 * Called when an endpoint has changed its rate limit.
@@ -49,7 +49,7 @@
 	 * overdrawn, or {@code null} if the quota was not checked
 	 * @param version the configuration version
 	 */
-	record RejectionFacts(@Nullable String requestId, ErrorKind kind, @Nullable Duration retryAfter,
+	record RejectedRequest(@Nullable String requestId, ErrorKind kind, @Nullable Duration retryAfter,
 			@Nullable AccountName account, @Nullable Long quotaAvailable, long version) {
 	}
 
@@ -62,7 +62,7 @@
 	 * @param predictedMillis the predicted response time, in ms
 	 * @param elapsed the time since the request was sent
 	 */
-	record AttemptFacts(String requestId, String endpoint, int number, double predictedMillis, Duration elapsed) {
+	record FailedAttempt(String requestId, String endpoint, int number, double predictedMillis, Duration elapsed) {
 	}
 
 	/**
@@ -79,7 +79,7 @@
 	 * @param elapsed the time since arrival
 	 * @param version the configuration version under which the request was accepted
 	 */
-	record RequestFacts(String requestId, String route, String outcome, int status, @Nullable String endpoint,
+	record EndedRequest(String requestId, String route, String outcome, int status, @Nullable String endpoint,
 			int attempts, @Nullable Duration untilFirst, Duration elapsed, long version) {
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/AnswerListener.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/ResponseListener.java
@@ -6,7 +6,7 @@
 /**
  * Receives the response to one call, on the event loop thread.
  */
-public interface AnswerListener {
+public interface ResponseListener {
 
 	/**
 	 * Returns whether the request may still be sent. Called once a new connection has
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutController.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutController.java
@@ -71,7 +71,7 @@
 	 * @param now the current wall-clock time
 	 * @return the next stage and the verdict on which it is based
 	 */
-	public Step next(Rollout rollout, RolloutReport fleet, VersionCounts endpoints, Instant now) {
+	public Step next(Rollout rollout, RolloutReport fleet, EndpointCounts endpoints, Instant now) {
 		long order = rollout.order().offset();
 		var candidate = fleet.samplesByRoute(order, true);
 		var baseline = fleet.samplesByRoute(order, false);
@@ -145,7 +145,7 @@
 	 * @param baseline the number of endpoints of other versions than the candidate
 	 * @param candidate the number of endpoints of the candidate
 	 */
-	public record VersionCounts(int baseline, int candidate) {
+	public record EndpointCounts(int baseline, int candidate) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SteadyClock.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/MonotonicClock.java
@@ -4,7 +4,7 @@
  * A monotonic clock. Only differences between its readings are meaningful.
  */
 @FunctionalInterface
-public interface SteadyClock {
+public interface MonotonicClock {
 
 	/**
 	 * Returns the current reading.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SharedTopics.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicStore.java
@@ -11,7 +11,7 @@
  * Futures complete on the event loop thread. If one completes exceptionally, the outcome
  * of the call is unknown.
  */
-public interface SharedTopics {
+public interface TopicStore {
 
 	/**
 	 * Reads the latest record of each key.
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/AddressAnnouncementTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/AddressAnnouncementTests.java
@@ -13,10 +13,10 @@
 import org.banyancove.core.error.BanyancoveException;
 import org.banyancove.core.error.ErrorKind;
 import org.banyancove.gateway.shared.AppendOutcome;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 
@@ -75,7 +75,7 @@
 		return new TopicRecord(0, key, value.getBytes(StandardCharsets.UTF_8));
 	}
 
-	private static final class RecordingTopics implements SharedTopics {
+	private static final class RecordingTopics implements TopicStore {
 
 		private final List<String> written = new ArrayList<>();
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
@@ -30,15 +30,15 @@
 import org.banyancove.gateway.endpoint.Endpoint;
 import org.banyancove.gateway.endpoint.EndpointEntry;
 import org.banyancove.gateway.endpoint.EndpointTable;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.rollout.Rollout;
 import org.banyancove.gateway.rollout.RolloutOrder;
 import org.banyancove.gateway.shared.AppendOutcome;
 import org.banyancove.gateway.shared.RecordCodec;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -257,7 +257,7 @@
 	/**
 	 * A gateway without callers and sockets.
 	 */
-	private final class Node implements PeerTransport, SharedTopics {
+	private final class Node implements PeerTransport, TopicStore {
 
 		private static final int TICK_MILLIS = 200;
 
@@ -276,7 +276,7 @@
 		private final ReadDelegation delegation;
 
 		private final EndpointTable endpoints = new EndpointTable(
-				new RateLimitAllotment("gateway", () -> List.of("gateway")));
+				new RateLimitAllocation("gateway", () -> List.of("gateway")));
 
 		private final SharedStateFollower sharedState;
 
@@ -376,7 +376,7 @@
 
 		private GatewayReport report() {
 			return new GatewayReport(this.incarnation, this.address.dataCenter(), TrafficTotals.NONE, false,
-					this.sharedState.knownState());
+					this.sharedState.sharedStateVersion());
 		}
 
 		@Override
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointAutoscalerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointAutoscalerTests.java
@@ -17,7 +17,7 @@
 import org.banyancove.gateway.duty.DemandEstimator;
 import org.banyancove.gateway.duty.FleetView;
 import org.banyancove.gateway.endpoint.EndpointTable;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.rollout.RolloutTable;
 import org.banyancove.gateway.rollout.ServingEndpoints;
 import org.banyancove.gateway.shared.Duties;
@@ -37,7 +37,7 @@
 
 	private final EndpointAutoscaler autoscaler = new EndpointAutoscaler(this.duties, () -> FleetView.ALONE,
 			new DemandEstimator(),
-			new ServingEndpoints(new EndpointTable(new RateLimitAllotment("gateway", () -> List.of("gateway"))),
+			new ServingEndpoints(new EndpointTable(new RateLimitAllocation("gateway", () -> List.of("gateway"))),
 					new RolloutTable()));
 
 	// Guards against on-demand endpoints, at several times the price, that run for
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointRateLimitTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointRateLimitTests.java
@@ -19,8 +19,8 @@
 import org.banyancove.core.EndpointId;
 import org.banyancove.core.ServiceName;
 import org.banyancove.gateway.duty.GatewayReport;
-import org.banyancove.gateway.duty.KnownState;
 import org.banyancove.gateway.duty.PeerTable;
+import org.banyancove.gateway.duty.SharedStateVersion;
 import org.banyancove.gateway.duty.TrafficTotals;
 import org.banyancove.gateway.endpoint.Endpoint;
 import org.banyancove.gateway.endpoint.EndpointEntry;
@@ -29,7 +29,7 @@
 import org.banyancove.gateway.endpoint.Placement;
 import org.banyancove.gateway.endpoint.PlacementRule;
 import org.banyancove.gateway.endpoint.Prompt;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.rollout.RolloutReport;
 import org.banyancove.gateway.shared.TopicRecord;
 import org.jspecify.annotations.Nullable;
@@ -193,7 +193,7 @@
 			this.table = new PeerTable(this.incarnation, dataCenter);
 			this.placement = new PlacementRule(dataCenter);
 			this.endpoints = new EndpointTable(
-					new RateLimitAllotment(this.address.name(), () -> this.exchange().gateways()));
+					new RateLimitAllocation(this.address.name(), () -> this.exchange().gateways()));
 			this.exchange = new FleetExchange(this.address, new EmbeddedChannel().eventLoop(),
 					() -> EndpointRateLimitTests.this.now, this, this.table, this::report, (used) -> {
 					}, (records) -> {
@@ -264,7 +264,8 @@
 			ObservedRateLimit observed = endpoint(LIMITED).rateLimiter().observed(EndpointRateLimitTests.this.now);
 			TrafficTotals traffic = new TrafficTotals(Map.of(), Map.of(), Map.of(), Map.of(), RolloutReport.NONE,
 					(observed != null) ? Map.of(LIMITED, observed) : Map.of());
-			return new GatewayReport(this.incarnation, this.address.dataCenter(), traffic, false, KnownState.NONE);
+			return new GatewayReport(this.incarnation, this.address.dataCenter(), traffic, false,
+					SharedStateVersion.NONE);
 		}
 
 		@Override
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/FleetExchangeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/FleetExchangeTests.java
@@ -19,8 +19,8 @@
 import org.banyancove.gateway.duty.EndpointLoad;
 import org.banyancove.gateway.duty.FleetView;
 import org.banyancove.gateway.duty.GatewayReport;
-import org.banyancove.gateway.duty.KnownState;
 import org.banyancove.gateway.duty.PeerTable;
+import org.banyancove.gateway.duty.SharedStateVersion;
 import org.banyancove.gateway.duty.TrafficTotals;
 import org.banyancove.gateway.rollout.RolloutReport;
 import org.banyancove.gateway.shared.Topic;
@@ -321,7 +321,7 @@
 			TrafficTotals traffic = new TrafficTotals(Map.of(WINDOW, Map.of(ACCOUNT, this.counted)),
 					Map.of(ACCOUNT, this.used), Map.of(), Map.of(ENDPOINT, new EndpointLoad(1, 1)), RolloutReport.NONE,
 					Map.of());
-			return new GatewayReport(this.incarnation, this.dataCenter, traffic, false, KnownState.NONE);
+			return new GatewayReport(this.incarnation, this.dataCenter, traffic, false, SharedStateVersion.NONE);
 		}
 
 		FleetView view() {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/PeerMessageCodecTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/PeerMessageCodecTests.java
@@ -18,8 +18,8 @@
 import org.banyancove.gateway.duty.EndpointLoad;
 import org.banyancove.gateway.duty.FleetSummary;
 import org.banyancove.gateway.duty.GatewayReport;
-import org.banyancove.gateway.duty.KnownState;
 import org.banyancove.gateway.duty.LeaseRecord;
+import org.banyancove.gateway.duty.SharedStateVersion;
 import org.banyancove.gateway.duty.TrafficTotals;
 import org.banyancove.gateway.duty.UsageReport;
 import org.banyancove.gateway.endpoint.ObservedRateLimit;
@@ -46,7 +46,8 @@
 			Map.of(new EndpointId("e"), new ObservedRateLimit(1.4, Duration.ofMillis(250)), new EndpointId("f"),
 					new ObservedRateLimit(null, Duration.ZERO)));
 
-	private static final KnownState KNOWN = new KnownState(true, 5, -9, Duration.ofMillis(350), 2);
+	private static final SharedStateVersion SHARED_STATE = new SharedStateVersion(true, 5, -9, Duration.ofMillis(350),
+			2);
 
 	private final PeerMessageCodec codec = new PeerMessageCodec();
 
@@ -57,7 +58,7 @@
 		RolloutReport report = new RolloutReport(List.of(rollout),
 				Map.of(new SampleKey(7, "chat", true), new VersionSamples(300, 200, 1)));
 		TrafficTotals traffic = new TrafficTotals(Map.of(), Map.of(), Map.of(), Map.of(), report, Map.of());
-		GatewayReport sent = new GatewayReport(7, new DataCenterName("a"), traffic, true, KNOWN);
+		GatewayReport sent = new GatewayReport(7, new DataCenterName("a"), traffic, true, SHARED_STATE);
 		assertThat(this.codec.read(this.codec.write(new PeerMessage.Report(sent))))
 			.isEqualTo(new PeerMessage.Report(sent));
 		LeaseRecord lease = new LeaseRecord("edge-1", 4, 2, List.of(),
@@ -69,17 +70,17 @@
 	@Test
 	void readsTheReportThatItWrote() {
 		assertReadsWhatItWrote(new PeerMessage.Report(
-				new GatewayReport(Long.MAX_VALUE, new DataCenterName("a"), TRAFFIC, true, KNOWN)));
+				new GatewayReport(Long.MAX_VALUE, new DataCenterName("a"), TRAFFIC, true, SHARED_STATE)));
 	}
 
 	@Test
 	void readsTheSummaryThatItWrote() {
 		List<DataCenterPresence> presence = List.of(new DataCenterPresence(new DataCenterName("a"), 19, 18, true),
 				new DataCenterPresence(new DataCenterName("b"), 300, 0, false));
+		assertReadsWhatItWrote(new PeerMessage.Summary(new FleetSummary(Long.MAX_VALUE, "a", presence, TRAFFIC,
+				Long.MAX_VALUE, SHARED_STATE, List.of(1L, -2L))));
 		assertReadsWhatItWrote(new PeerMessage.Summary(
-				new FleetSummary(Long.MAX_VALUE, "a", presence, TRAFFIC, Long.MAX_VALUE, KNOWN, List.of(1L, -2L))));
-		assertReadsWhatItWrote(new PeerMessage.Summary(
-				new FleetSummary(1, null, List.of(), TrafficTotals.NONE, 0, KnownState.NONE, List.of())));
+				new FleetSummary(1, null, List.of(), TrafficTotals.NONE, 0, SharedStateVersion.NONE, List.of())));
 	}
 
 	private void assertReadsWhatItWrote(PeerMessage message) {
@@ -111,7 +112,7 @@
 	// hundred reports per second.
 	@Test
 	void aReportOfALargeFleetIsSmall() {
-		GatewayReport report = new GatewayReport(7, new DataCenterName("zone"), largeTraffic(), false, KNOWN);
+		GatewayReport report = new GatewayReport(7, new DataCenterName("zone"), largeTraffic(), false, SHARED_STATE);
 		PeerMessage message = new PeerMessage.Report(report);
 		assertThat(this.codec.write(message).length * 100 * Byte.SIZE).isLessThan(7_000_000 / 4);
 		assertReadsWhatItWrote(message);
@@ -154,7 +155,7 @@
 	@Test
 	void rejectsATruncatedMessage() {
 		for (PeerMessage message : List.of(
-				new PeerMessage.Report(new GatewayReport(7, new DataCenterName("a"), TRAFFIC, true, KNOWN)),
+				new PeerMessage.Report(new GatewayReport(7, new DataCenterName("a"), TRAFFIC, true, SHARED_STATE)),
 				new PeerMessage.Relay(new RelayedRecords(Topic.ENDPOINTS,
 						List.of(new TopicRecord(7, "a", new byte[] { 1, -2 })), null)))) {
 			byte[] complete = this.codec.write(message);
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/ReadDelegationTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/ReadDelegationTests.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 import org.banyancove.gateway.duty.FleetView;
-import org.banyancove.gateway.duty.KnownState;
+import org.banyancove.gateway.duty.SharedStateVersion;
 import org.banyancove.gateway.rollout.RolloutReport;
 import org.junit.jupiter.api.Test;
 
@@ -76,7 +76,7 @@
 
 	private static FleetView fleet(List<Long> readers, boolean leaseHeld, boolean aggregates) {
 		return new FleetView(5, 1, Set.of(), Map.of(), Map.of(), RolloutReport.NONE, Map.of(), leaseHeld,
-				KnownState.NONE, readers, aggregates);
+				SharedStateVersion.NONE, readers, aggregates);
 	}
 
 }
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/RolloutExecutorTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/RolloutExecutorTests.java
@@ -15,7 +15,7 @@
 import org.banyancove.gateway.duty.FleetView;
 import org.banyancove.gateway.endpoint.EndpointEntry;
 import org.banyancove.gateway.endpoint.EndpointTable;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.rollout.AnswerTimes;
 import org.banyancove.gateway.rollout.ExposureLimits;
 import org.banyancove.gateway.rollout.Rollout;
@@ -25,10 +25,10 @@
 import org.banyancove.gateway.rollout.RolloutTable;
 import org.banyancove.gateway.shared.AppendOutcome;
 import org.banyancove.gateway.shared.RecordCodec;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 
@@ -50,7 +50,7 @@
 	private final ScriptedStatusTopic topics = new ScriptedStatusTopic();
 
 	private final EndpointTable endpoints = new EndpointTable(
-			new RateLimitAllotment("gateway", () -> List.of("gateway")));
+			new RateLimitAllocation("gateway", () -> List.of("gateway")));
 
 	private final RolloutTable table = new RolloutTable();
 
@@ -187,7 +187,7 @@
 	/**
 	 * A status topic in memory.
 	 */
-	private static final class ScriptedStatusTopic implements SharedTopics {
+	private static final class ScriptedStatusTopic implements TopicStore {
 
 		private final List<TopicRecord> records = new ArrayList<>();
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
@@ -11,10 +11,10 @@
 import org.banyancove.core.error.BanyancoveException;
 import org.banyancove.core.error.ErrorKind;
 import org.banyancove.gateway.shared.AppendOutcome;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 
@@ -181,7 +181,7 @@
 	/**
 	 * A store that returns scripted pages, and then empty ones.
 	 */
-	private static final class ScriptedTopics implements SharedTopics {
+	private static final class ScriptedTopics implements TopicStore {
 
 		private final List<TopicPage> newest = new ArrayList<>();
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/LeaseKeeperTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/LeaseElectorTests.java
@@ -13,7 +13,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LeaseKeeperTests {
+class LeaseElectorTests {
 
 	private static final long MILLISECOND = Duration.ofMillis(1).toNanos();
 
@@ -22,11 +22,11 @@
 	@Test
 	void claimsEmptyTopicImmediately() {
 		Topic topic = new Topic();
-		LeaseKeeper keeper = keeper(1);
-		topic.read(keeper, 0);
-		topic.append(keeper, 0);
-		assertThat(keeper.holds(0)).isTrue();
-		assertThat(keeper.fence()).isEqualTo(1);
+		LeaseElector elector = elector(1);
+		topic.read(elector, 0);
+		topic.append(elector, 0);
+		assertThat(elector.holds(0)).isTrue();
+		assertThat(elector.fence()).isEqualTo(1);
 	}
 
 	// Guards against two holders when two gateways start simultaneously and read the
@@ -35,8 +35,8 @@
 	@Test
 	void onlyOneOfTwoConcurrentClaimantsSucceeds() {
 		Topic topic = new Topic();
-		LeaseKeeper first = keeper(1);
-		LeaseKeeper second = keeper(2);
+		LeaseElector first = elector(1);
+		LeaseElector second = elector(2);
 		topic.read(first, 0);
 		topic.read(second, 0);
 		topic.append(first, 0);
@@ -53,37 +53,37 @@
 	@Test
 	void recoversClaimWhoseResponseWasLost() {
 		Topic topic = new Topic();
-		LeaseKeeper keeper = keeper(1);
-		topic.read(keeper, 0);
-		topic.appendAndLoseResponse(keeper, 0);
-		assertThat(keeper.holds(0)).isFalse();
-		topic.read(keeper, MILLISECOND);
-		assertThat(keeper.holds(MILLISECOND)).isFalse();
-		topic.append(keeper, 2 * MILLISECOND);
-		assertThat(keeper.holds(2 * MILLISECOND)).isTrue();
-		assertThat(keeper.fence()).isEqualTo(1);
+		LeaseElector elector = elector(1);
+		topic.read(elector, 0);
+		topic.appendAndLoseResponse(elector, 0);
+		assertThat(elector.holds(0)).isFalse();
+		topic.read(elector, MILLISECOND);
+		assertThat(elector.holds(MILLISECOND)).isFalse();
+		topic.append(elector, 2 * MILLISECOND);
+		assertThat(elector.holds(2 * MILLISECOND)).isTrue();
+		assertThat(elector.fence()).isEqualTo(1);
 	}
 
 	@Test
 	void urgentReportIsAppendedBeforeRenewalIsDue() {
 		Topic topic = new Topic();
-		LeaseKeeper keeper = keeper(1);
-		topic.read(keeper, 0);
-		topic.append(keeper, 0);
+		LeaseElector elector = elector(1);
+		topic.read(elector, 0);
+		topic.append(elector, 0);
 		UsageReport report = new UsageReport(5, Map.of());
-		assertThat(keeper.toAppend(List.of(report), List.of(), false, MILLISECOND)).isNull();
-		assertThat(keeper.toAppend(List.of(report), List.of(), true, MILLISECOND)).isNotNull();
+		assertThat(elector.toAppend(List.of(report), List.of(), false, MILLISECOND)).isNull();
+		assertThat(elector.toAppend(List.of(report), List.of(), true, MILLISECOND)).isNotNull();
 	}
 
 	// Guards against seconds without a holder after all processes were killed at once.
 	@Test
 	void restartedHolderClaimsImmediatelyWhileOthersWait() {
 		Topic topic = new Topic();
-		LeaseKeeper killedProcess = keeper(1);
+		LeaseElector killedProcess = elector(1);
 		topic.read(killedProcess, 0);
 		topic.append(killedProcess, 0);
-		LeaseKeeper restartedProcess = new LeaseKeeper("edge-1", 7, LEASE, 0, MILLISECOND);
-		LeaseKeeper other = new LeaseKeeper("edge-2", 8, LEASE, 0, MILLISECOND);
+		LeaseElector restartedProcess = new LeaseElector("edge-1", 7, LEASE, 0, MILLISECOND);
+		LeaseElector other = new LeaseElector("edge-2", 8, LEASE, 0, MILLISECOND);
 		topic.read(other, MILLISECOND);
 		assertThat(other.toAppend(List.of(), List.of(), false, MILLISECOND)).isNull();
 		topic.read(restartedProcess, MILLISECOND);
@@ -99,9 +99,9 @@
 	void atMostOneHolderAndFenceNeverDecreases() {
 		SplittableRandom random = new SplittableRandom(11);
 		Topic topic = new Topic();
-		List<LeaseKeeper> keepers = new ArrayList<>();
+		List<LeaseElector> electors = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
-			keepers.add(keeper(i + 1));
+			electors.add(elector(i + 1));
 		}
 		boolean[] disconnected = new boolean[4];
 		long highestFence = 0;
@@ -109,17 +109,17 @@
 		for (long now = 0; now < 1_200_000 * MILLISECOND; now += 200 * MILLISECOND) {
 			int holders = 0;
 			for (int i = 0; i < 4; i++) {
-				LeaseKeeper keeper = keepers.get(i);
+				LeaseElector elector = electors.get(i);
 				disconnected[i] = (random.nextInt(100) == 0) != disconnected[i];
 				if (!disconnected[i]) {
-					topic.read(keeper, now);
-					topic.append(keeper, now);
+					topic.read(elector, now);
+					topic.append(elector, now);
 				}
-				if (keeper.holds(now)) {
+				if (elector.holds(now)) {
 					holders++;
-					assertThat(keeper.fence()).isGreaterThanOrEqualTo(highestFence);
-					holderChanges += (keeper.fence() > highestFence) ? 1 : 0;
-					highestFence = keeper.fence();
+					assertThat(elector.fence()).isGreaterThanOrEqualTo(highestFence);
+					holderChanges += (elector.fence() > highestFence) ? 1 : 0;
+					highestFence = elector.fence();
 				}
 			}
 			assertThat(holders).as("holders at %s ms", now / MILLISECOND).isLessThanOrEqualTo(1);
@@ -132,17 +132,18 @@
 	@Test
 	void responseAfterProcessPauseDoesNotRenewLease() {
 		Topic topic = new Topic();
-		LeaseKeeper keeper = keeper(1);
-		topic.read(keeper, 0);
-		topic.append(keeper, 0);
+		LeaseElector elector = elector(1);
+		topic.read(elector, 0);
+		topic.append(elector, 0);
 		long renewalTime = LEASE.toNanos() / 3;
-		LeaseRecord renewing = Objects.requireNonNull(keeper.toAppend(List.of(), List.of(), false, renewalTime));
-		topic.tryAppend(keeper, renewing);
-		keeper.stoodStill(renewalTime + MILLISECOND);
-		keeper.appended(renewing, 1, renewalTime + 2 * MILLISECOND);
-		assertThat(keeper.holds(renewalTime + 2 * MILLISECOND)).isFalse();
-		topic.read(keeper, renewalTime + 3 * MILLISECOND);
-		assertThat(keeper.toAppend(List.of(), List.of(), true, renewalTime + 3 * MILLISECOND)).as("backs off").isNull();
+		LeaseRecord renewing = Objects.requireNonNull(elector.toAppend(List.of(), List.of(), false, renewalTime));
+		topic.tryAppend(elector, renewing);
+		elector.stoodStill(renewalTime + MILLISECOND);
+		elector.appended(renewing, 1, renewalTime + 2 * MILLISECOND);
+		assertThat(elector.holds(renewalTime + 2 * MILLISECOND)).isFalse();
+		topic.read(elector, renewalTime + 3 * MILLISECOND);
+		assertThat(elector.toAppend(List.of(), List.of(), true, renewalTime + 3 * MILLISECOND)).as("backs off")
+			.isNull();
 	}
 
 	// Guards against a holder that acts after another one with a higher fence, under
@@ -154,7 +155,7 @@
 		Topic topic = new Topic();
 		List<SimulatedGateway> gateways = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
-			gateways.add(new SimulatedGateway(keeper(i + 1)));
+			gateways.add(new SimulatedGateway(elector(i + 1)));
 		}
 		long highestFence = 0;
 		int holderChanges = 0;
@@ -171,8 +172,8 @@
 		assertThat(holderChanges).isGreaterThan(20);
 	}
 
-	private static LeaseKeeper keeper(long incarnation) {
-		return new LeaseKeeper("edge-" + incarnation, incarnation, LEASE, incarnation / 10.0, 0);
+	private static LeaseElector elector(long incarnation) {
+		return new LeaseElector("edge-" + incarnation, incarnation, LEASE, incarnation / 10.0, 0);
 	}
 
 	/**
@@ -181,7 +182,7 @@
 	 */
 	private static final class SimulatedGateway {
 
-		private final LeaseKeeper keeper;
+		private final LeaseElector elector;
 
 		private long pausedUntil;
 
@@ -197,8 +198,8 @@
 
 		private long appendedOffset;
 
-		SimulatedGateway(LeaseKeeper keeper) {
-			this.keeper = keeper;
+		SimulatedGateway(LeaseElector elector) {
+			this.elector = elector;
 		}
 
 		// Returns the fence with which the gateway acts, or 0 if it does not act.
@@ -213,15 +214,15 @@
 			}
 			if (this.resumed) {
 				this.resumed = false;
-				this.keeper.stoodStill(monotonicNow);
+				this.elector.stoodStill(monotonicNow);
 			}
-			long actingFence = this.keeper.holds(monotonicNow) ? this.keeper.fence() : 0;
+			long actingFence = this.elector.holds(monotonicNow) ? this.elector.fence() : 0;
 			if (!receivesFirst) {
 				receive(now, monotonicNow);
 			}
 			this.disconnected = (random.nextInt(60) == 0) != this.disconnected;
 			if (!this.disconnected) {
-				topic.read(this.keeper, monotonicNow);
+				topic.read(this.elector, monotonicNow);
 				send(topic, random, now, monotonicNow);
 			}
 			if (random.nextInt(100) == 0) {
@@ -237,12 +238,12 @@
 		}
 
 		private void send(Topic topic, SplittableRandom random, long now, long monotonicNow) {
-			LeaseRecord record = this.keeper.toAppend(List.of(), List.of(), false, monotonicNow);
+			LeaseRecord record = this.elector.toAppend(List.of(), List.of(), false, monotonicNow);
 			if (record == null) {
 				return;
 			}
 			this.pending = record;
-			this.appendedOffset = topic.tryAppend(this.keeper, record) ? topic.records.size() - 1L : -1;
+			this.appendedOffset = topic.tryAppend(this.elector, record) ? topic.records.size() - 1L : -1;
 			this.responseAt = now + random.nextInt(600) * MILLISECOND;
 		}
 
@@ -253,10 +254,10 @@
 			}
 			this.pending = null;
 			if (this.appendedOffset >= 0) {
-				this.keeper.appended(record, this.appendedOffset, monotonicNow);
+				this.elector.appended(record, this.appendedOffset, monotonicNow);
 			}
 			else {
-				this.keeper.notAppended(record);
+				this.elector.notAppended(record);
 			}
 		}
 
@@ -266,36 +267,36 @@
 
 		private final List<LeaseRecord> records = new ArrayList<>();
 
-		private final Map<LeaseKeeper, Integer> nextOffsets = new HashMap<>();
+		private final Map<LeaseElector, Integer> nextOffsets = new HashMap<>();
 
-		private void read(LeaseKeeper keeper, long now) {
-			int nextOffset = this.nextOffsets.getOrDefault(keeper, 0);
-			this.records.subList(nextOffset, this.records.size()).forEach((record) -> keeper.read(record, now));
-			this.nextOffsets.put(keeper, this.records.size());
-			keeper.ends(this.records.size());
+		private void read(LeaseElector elector, long now) {
+			int nextOffset = this.nextOffsets.getOrDefault(elector, 0);
+			this.records.subList(nextOffset, this.records.size()).forEach((record) -> elector.read(record, now));
+			this.nextOffsets.put(elector, this.records.size());
+			elector.ends(this.records.size());
 		}
 
-		private boolean tryAppend(LeaseKeeper keeper, LeaseRecord record) {
-			return keeper.expectedEnd() == this.records.size() && this.records.add(record);
+		private boolean tryAppend(LeaseElector elector, LeaseRecord record) {
+			return elector.expectedEnd() == this.records.size() && this.records.add(record);
 		}
 
-		private void append(LeaseKeeper keeper, long now) {
-			LeaseRecord record = keeper.toAppend(List.of(), List.of(), false, now);
+		private void append(LeaseElector elector, long now) {
+			LeaseRecord record = elector.toAppend(List.of(), List.of(), false, now);
 			if (record == null) {
 				return;
 			}
-			if (tryAppend(keeper, record)) {
-				keeper.appended(record, this.records.size() - 1L, now);
+			if (tryAppend(elector, record)) {
+				elector.appended(record, this.records.size() - 1L, now);
 			}
 			else {
-				keeper.notAppended(record);
+				elector.notAppended(record);
 			}
 		}
 
-		private void appendAndLoseResponse(LeaseKeeper keeper, long now) {
-			LeaseRecord record = Objects.requireNonNull(keeper.toAppend(List.of(), List.of(), false, now));
-			tryAppend(keeper, record);
-			keeper.notAppended(record);
+		private void appendAndLoseResponse(LeaseElector elector, long now) {
+			LeaseRecord record = Objects.requireNonNull(elector.toAppend(List.of(), List.of(), false, now));
+			tryAppend(elector, record);
+			elector.notAppended(record);
 		}
 
 	}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/PeerTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/PeerTableTests.java
@@ -125,9 +125,11 @@
 	@Test
 	void ownLeaseIsNotReportedAsHeldElsewhere() {
 		this.peerTable.configure(false, Set.of("near"), RESPONSE_TIMEOUT);
-		this.peerTable.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 9, KnownState.NONE, List.of()), 0);
+		this.peerTable
+			.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 9, SharedStateVersion.NONE, List.of()), 0);
 		assertThat(this.peerTable.view(0).leaseHeld()).isFalse();
-		this.peerTable.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 7, KnownState.NONE, List.of()), 0);
+		this.peerTable
+			.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 7, SharedStateVersion.NONE, List.of()), 0);
 		assertThat(this.peerTable.view(0).leaseHeld()).isTrue();
 	}
 
@@ -161,33 +163,33 @@
 
 	private static GatewayReport reading(long incarnation) {
 		return new GatewayReport(incarnation, NEAR, TrafficTotals.NONE, false,
-				new KnownState(true, 5, 5, Duration.ZERO, 5));
+				new SharedStateVersion(true, 5, 5, Duration.ZERO, 5));
 	}
 
 	private static GatewayReport report(long incarnation, String dataCenter) {
 		return new GatewayReport(incarnation, new DataCenterName(dataCenter), TrafficTotals.NONE, false,
-				KnownState.NONE);
+				SharedStateVersion.NONE);
 	}
 
 	private static GatewayReport report(double used) {
 		TrafficTotals traffic = new TrafficTotals(Map.of(), Map.of(ACCOUNT, used), Map.of(), Map.of(),
 				RolloutReport.NONE, Map.of());
-		return new GatewayReport(7, new DataCenterName("zone"), traffic, false, KnownState.NONE);
+		return new GatewayReport(7, new DataCenterName("zone"), traffic, false, SharedStateVersion.NONE);
 	}
 
 	private static GatewayReport loaded(long incarnation, int requests) {
-		return new GatewayReport(incarnation, NEAR, loads(requests), false, KnownState.NONE);
+		return new GatewayReport(incarnation, NEAR, loads(requests), false, SharedStateVersion.NONE);
 	}
 
 	private static FleetSummary summary(long incarnation, String group, int gateways) {
 		return new FleetSummary(incarnation, group,
 				List.of(new DataCenterPresence(new DataCenterName("far"), gateways, gateways, true)), loads(gateways),
-				0, KnownState.NONE, List.of());
+				0, SharedStateVersion.NONE, List.of());
 	}
 
 	private static FleetSummary fleet(long incarnation, int gateways) {
 		return new FleetSummary(incarnation, null, List.of(new DataCenterPresence(NEAR, gateways, gateways, true)),
-				loads(gateways), 0, new KnownState(true, 5, 5, Duration.ZERO, 5), List.of(1L, 2L, 3L));
+				loads(gateways), 0, new SharedStateVersion(true, 5, 5, Duration.ZERO, 5), List.of(1L, 2L, 3L));
 	}
 
 	private static TrafficTotals loads(int requests) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
@@ -53,7 +53,7 @@
 		decide(listed(0, 2), 1900, 0);
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 2, true);
-		List<ScalingPolicy.Order> orders = decide(remaining, 1900, 1);
+		List<ScalingPolicy.CapacityOrder> orders = decide(remaining, 1900, 1);
 		assertThat(total(orders, false)).isEqualTo(4);
 		assertThat(orders).filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
 			.singleElement()
@@ -109,9 +109,9 @@
 	void onDemandEndpointsAtMaximumAreReplacedByReclaimableOnes() {
 		List<EndpointEntry> listed = listed(6, 0);
 		for (int second = 0; second < 12; second++) {
-			List<ScalingPolicy.Order> orders = decide(listed, 6000, true, second);
+			List<ScalingPolicy.CapacityOrder> orders = decide(listed, 6000, true, second);
 			listed = new ArrayList<>();
-			for (ScalingPolicy.Order order : orders) {
+			for (ScalingPolicy.CapacityOrder order : orders) {
 				add(listed, order.zone(), order.count(), order.reclaimable());
 			}
 			assertThat(listed).hasSizeGreaterThanOrEqualTo(10);
@@ -166,7 +166,7 @@
 	// ones must run when requests arrive.
 	@Test
 	void initialCapacityIsKeptBeforeFirstRequest() {
-		List<ScalingPolicy.Order> first = decide(listed(5, 0), 0, 0);
+		List<ScalingPolicy.CapacityOrder> first = decide(listed(5, 0), 0, 0);
 		assertThat(total(first, true)).isGreaterThanOrEqualTo(15);
 		assertThat(total(decide(listed(0, 5), 0, true, 15), true)).isGreaterThanOrEqualTo(15);
 		assertThat(total(decide(listed(0, 5), 1000, true, 40), true)).isLessThan(15);
@@ -177,7 +177,7 @@
 	// the slots would be used.
 	@Test
 	void onDemandEndpointsUseMostOfTheirSlots() {
-		List<ScalingPolicy.Order> orders = this.policy.decide(LIMITS, listed(2, 0), 1000, 200, false, 0);
+		List<ScalingPolicy.CapacityOrder> orders = this.policy.decide(LIMITS, listed(2, 0), 1000, 200, false, 0);
 		assertThat(total(orders, false)).isBetween(200 / 64, 2 * 200 / 64);
 	}
 
@@ -191,34 +191,35 @@
 	@Test
 	void observesMinimumAndMaximumPerDataCenter() {
 		for (int demand = 0; demand < 40_000; demand += 1000) {
-			List<ScalingPolicy.Order> orders = new ScalingPolicy().decide(LIMITS, listed(1, 2), demand, 0, true, 0);
+			List<ScalingPolicy.CapacityOrder> orders = new ScalingPolicy().decide(LIMITS, listed(1, 2), demand, 0, true,
+					0);
 			for (DataCenterName dataCenter : List.of(CHEAP, MIDDLE, EXPENSIVE)) {
 				int total = orders.stream()
 					.filter((order) -> order.zone().equals(dataCenter))
-					.mapToInt(ScalingPolicy.Order::count)
+					.mapToInt(ScalingPolicy.CapacityOrder::count)
 					.sum();
 				assertThat(total).as("demand %s", demand).isBetween(LIMITS.fewest(), LIMITS.most());
 			}
 		}
 	}
 
-	private static int onDemandIn(DataCenterName dataCenter, List<ScalingPolicy.Order> orders) {
+	private static int onDemandIn(DataCenterName dataCenter, List<ScalingPolicy.CapacityOrder> orders) {
 		return total(orders.stream().filter((order) -> order.zone().equals(dataCenter)).toList(), false);
 	}
 
-	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double demand, long second) {
+	private List<ScalingPolicy.CapacityOrder> decide(List<EndpointEntry> listed, double demand, long second) {
 		return decide(listed, demand, false, second);
 	}
 
-	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double demand, boolean reclaimableAvailable,
-			long second) {
+	private List<ScalingPolicy.CapacityOrder> decide(List<EndpointEntry> listed, double demand,
+			boolean reclaimableAvailable, long second) {
 		return this.policy.decide(LIMITS, listed, demand, 0, reclaimableAvailable, second * SECOND);
 	}
 
-	private static int total(List<ScalingPolicy.Order> orders, boolean reclaimable) {
+	private static int total(List<ScalingPolicy.CapacityOrder> orders, boolean reclaimable) {
 		return orders.stream()
 			.filter((order) -> order.reclaimable() == reclaimable)
-			.mapToInt(ScalingPolicy.Order::count)
+			.mapToInt(ScalingPolicy.CapacityOrder::count)
 			.sum();
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsagePlanTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsageReportPlannerTests.java
@@ -12,13 +12,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class UsagePlanTests {
+class UsageReportPlannerTests {
 
 	private static final AccountName ACCOUNT = new AccountName("account");
 
 	private final UsageCounter counter = new UsageCounter(Duration.ofSeconds(5));
 
-	private final UsagePlan plan = new UsagePlan(this.counter, Instant.ofEpochSecond(1000));
+	private final UsageReportPlanner planner = new UsageReportPlanner(this.counter, Instant.ofEpochSecond(1000));
 
 	@Test
 	void reportsWindowOnceItsCountsAreFinal() {
@@ -77,11 +77,11 @@
 	}
 
 	private static GatewayReport report(long incarnation, TrafficTotals traffic) {
-		return new GatewayReport(incarnation, new DataCenterName("zone"), traffic, false, KnownState.NONE);
+		return new GatewayReport(incarnation, new DataCenterName("zone"), traffic, false, SharedStateVersion.NONE);
 	}
 
 	private List<UsageReport> toName(List<UsageReport> recorded, long second, long count) {
-		return this.plan.toName(recorded, Instant.ofEpochSecond(second),
+		return this.planner.toName(recorded, Instant.ofEpochSecond(second),
 				(window) -> new UsageReport(window, Map.of(ACCOUNT, count)));
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointTableTests.java
@@ -26,7 +26,7 @@
 
 	private static final long MILLISECOND = Duration.ofMillis(1).toNanos();
 
-	private final EndpointTable table = new EndpointTable(new RateLimitAllotment("gateway", () -> List.of("gateway")));
+	private final EndpointTable table = new EndpointTable(new RateLimitAllocation("gateway", () -> List.of("gateway")));
 
 	@BeforeEach
 	void configure() {
@@ -88,7 +88,7 @@
 	// the configuration.
 	@Test
 	void theConfigurationAppliesToEndpointsListedBeforeIt() {
-		EndpointTable early = new EndpointTable(new RateLimitAllotment("gateway", () -> List.of("gateway")));
+		EndpointTable early = new EndpointTable(new RateLimitAllocation("gateway", () -> List.of("gateway")));
 		early.put(entry(false));
 		Endpoint endpoint = early.listed(SERVICE).getFirst();
 		Prompt prompt = new Prompt(List.of(), 10_000, 100);
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ExchangeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/ExchangeTests.java
@@ -37,7 +37,7 @@
 import org.banyancove.gateway.endpoint.EndpointEntry;
 import org.banyancove.gateway.endpoint.EndpointTable;
 import org.banyancove.gateway.endpoint.PlacementRule;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.rollout.RolloutTable;
 import org.banyancove.gateway.rollout.ServingEndpoints;
 import org.jspecify.annotations.Nullable;
@@ -67,17 +67,17 @@
 	private final EventLoop eventLoop = this.eventLoops.next();
 
 	private final EndpointTable endpoints = new EndpointTable(
-			new RateLimitAllotment("gateway", () -> List.of("gateway")));
+			new RateLimitAllocation("gateway", () -> List.of("gateway")));
 
 	private final List<ScriptedEndpoint> scriptedEndpoints = new ArrayList<>();
 
-	private final ClientConnections connections = new ClientConnections(this.eventLoop, System::nanoTime);
+	private final ConnectionPool connections = new ConnectionPool(this.eventLoop, System::nanoTime);
 
 	private final RolloutTable rollouts = new RolloutTable();
 
 	private volatile BooleanSupplier endpointsCurrent = () -> true;
 
-	private final RequestFlow dispatcher = newDispatcher();
+	private final RequestDispatcher dispatcher = newDispatcher();
 
 	private final CallerServer server = newServer(this.dispatcher);
 
@@ -85,15 +85,15 @@
 
 	private @Nullable Channel serverChannel;
 
-	private RequestFlow newDispatcher() {
-		return new RequestFlow(this.eventLoop, System::nanoTime, InstantSource.system(), new SplittableRandom(1),
+	private RequestDispatcher newDispatcher() {
+		return new RequestDispatcher(this.eventLoop, System::nanoTime, InstantSource.system(), new SplittableRandom(1),
 				new TestHeaderCodec(), this.connections, new ServingEndpoints(this.endpoints, this.rollouts),
 				() -> this.endpointsCurrent.getAsBoolean(), new PlacementRule(DATA_CENTER),
 				new Meters(new UsageCounter(Duration.ofSeconds(5)), new DemandEstimator()), new NoOpRequestLog(),
 				new RetryLimits(1, 100));
 	}
 
-	private CallerServer newServer(RequestFlow servedDispatcher) {
+	private CallerServer newServer(RequestDispatcher servedDispatcher) {
 		return new CallerServer(this.eventLoops, System::nanoTime,
 				() -> new CallerLimits(4096, 10_000, Duration.ofSeconds(3), Duration.ofSeconds(15)), servedDispatcher);
 	}
@@ -109,7 +109,7 @@
 			.listen(ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
 	}
 
-	private void configure(RequestFlow configuredDispatcher) throws InterruptedException {
+	private void configure(RequestDispatcher configuredDispatcher) throws InterruptedException {
 		Configuration currentConfiguration = Objects.requireNonNull(this.configuration);
 		this.eventLoop.submit(() -> {
 			this.endpoints.configure(currentConfiguration);
@@ -425,7 +425,7 @@
 	@Test
 	void requestReceivedBeforeTheConfigurationIsDeferredUntilItIsRead() throws Exception {
 		endpoint("a").thenRespond(COMPLETE);
-		RequestFlow startingDispatcher = newDispatcher();
+		RequestDispatcher startingDispatcher = newDispatcher();
 		this.serverChannel = newServer(startingDispatcher)
 			.listen(ListeningSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
 		try (Caller caller = new Caller()) {
@@ -556,15 +556,15 @@
 	private static final class NoOpRequestLog implements RequestLog {
 
 		@Override
-		public void rejected(RejectionFacts facts) {
+		public void rejected(RejectedRequest request) {
 		}
 
 		@Override
-		public void attemptFailed(AttemptFacts attempt, String reason) {
+		public void attemptFailed(FailedAttempt attempt, String reason) {
 		}
 
 		@Override
-		public void ended(RequestFacts facts) {
+		public void ended(EndedRequest request) {
 		}
 
 		@Override
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutFleetTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutFleetTests.java
@@ -135,7 +135,7 @@
 		}
 
 		private Rollout decide(Rollout rollout, int atMillis) {
-			RolloutController.VersionCounts endpoints = new RolloutController.VersionCounts(60,
+			RolloutController.EndpointCounts endpoints = new RolloutController.EndpointCounts(60,
 					(atMillis >= ENDPOINT_START_MILLIS || this.duration.toMillis() < ENDPOINT_START_MILLIS * 2) ? 60
 							: 0);
 			RolloutReport fleet = this.fleetReports.getLast();
