--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/AdmissionRule.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/AdmissionRule.java
@@ -159,7 +159,7 @@
 	 * @return the timeout
 	 */
 	public Duration streamTimeout(Route route) {
-		return scaled(route.longestPause(), STREAM_TIMEOUT_FACTOR);
+		return scaled(route.eventIntervalTarget(), STREAM_TIMEOUT_FACTOR);
 	}
 
 	private static Duration clamp(Duration duration, Duration minimum, Duration maximum) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/QuotaLimiter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/admission/QuotaLimiter.java
@@ -56,17 +56,17 @@
 	}
 
 	/**
-	 * Returns a limiter for a changed quota that keeps the current level and usage. With
-	 * an empty bucket, each change of its quota would reject requests that the account is
+	 * Returns a limiter for a new quota that keeps the current level and usage. With an
+	 * empty bucket, each change of its quota would reject requests that the account is
 	 * entitled to.
-	 * @param changed the changed quota
+	 * @param newQuota the new quota
 	 * @param now the current time
 	 * @return the new limiter
 	 */
-	public QuotaLimiter changedTo(TokenQuota changed, long now) {
+	public QuotaLimiter withQuota(TokenQuota newQuota, long now) {
 		refill(now);
-		QuotaLimiter successor = new QuotaLimiter(changed, now);
-		successor.level = Math.min(this.level, changed.burst());
+		QuotaLimiter successor = new QuotaLimiter(newQuota, now);
+		successor.level = Math.min(this.level, newQuota.burst());
 		successor.reachableShare = this.reachableShare;
 		successor.used = this.used;
 		return successor;
@@ -77,7 +77,7 @@
 	 * @param newReachableShare the number of reachable gateways, this one included,
 	 * relative to all gateways
 	 */
-	public void reachable(double newReachableShare) {
+	public void setReachableShare(double newReachableShare) {
 		this.reachableShare = Math.clamp(newReachableShare, 0, 1);
 	}
 
@@ -86,7 +86,7 @@
 	 * @param amount the costs that it accepted since its last report
 	 * @param now the current time
 	 */
-	public void remoteUsage(double amount, long now) {
+	public void deductRemoteUsage(double amount, long now) {
 		refill(now);
 		this.level = Math.max(this.level - amount, -MAXIMUM_OVERDRAFT_SECONDS * this.quota.ratePerSecond());
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Configuration.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Configuration.java
@@ -136,7 +136,7 @@
 	 * @param key the key
 	 * @return the account, or {@code null} if the key is unknown
 	 */
-	public @Nullable ClientAccount accountOf(String key) {
+	public @Nullable ClientAccount accountForKey(String key) {
 		return this.accountsByKey.get(key);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Route.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/Route.java
@@ -15,15 +15,15 @@
  * @param resumable whether a stream can be resumed at another endpoint
  * @param timeout the maximum time to the final answer
  * @param latencyTarget the target time to the answer, or to a stream's first event
- * @param longestPause the target for the maximum time between events of a stream
+ * @param eventIntervalTarget the target for the maximum time between events of a stream
  * @param priority the priority, 0 highest
  * @param services the services that run the requests
  * @param maxAttempts the maximum number of endpoints that a request is sent to
  * @param anonymous whether requests require no key
  */
 public record Route(String name, String host, String pathPrefix, RouteKind kind, boolean resumable, Duration timeout,
-		Duration latencyTarget, Duration longestPause, int priority, List<WeightedService> services, int maxAttempts,
-		boolean anonymous) {
+		Duration latencyTarget, Duration eventIntervalTarget, int priority, List<WeightedService> services,
+		int maxAttempts, boolean anonymous) {
 
 	/**
 	 * Creates the route.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/ScalingLimits.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/ScalingLimits.java
@@ -8,25 +8,27 @@
 /**
  * Limits and prices for ordering endpoints of a service.
  *
- * @param fewest the minimum number of endpoints in a data centre
- * @param most the maximum number of endpoints in a data centre, reclaimable and on-demand
- * ones together
- * @param startTime the time from an order to the first request served
+ * @param minimumEndpoints the minimum number of endpoints in a data centre
+ * @param maximumEndpoints the maximum number of endpoints in a data centre, reclaimable
+ * and on-demand ones together
+ * @param startupDuration the time from an order to the first request served
  * @param reclaimablePrice the price of a reclaimable endpoint relative to an on-demand
  * one
  * @param zonePrices the price of an endpoint per second, by data centre
  */
-public record ScalingLimits(int fewest, int most, Duration startTime, double reclaimablePrice,
-		Map<DataCenterName, Double> zonePrices) {
+public record ScalingLimits(int minimumEndpoints, int maximumEndpoints, Duration startupDuration,
+		double reclaimablePrice, Map<DataCenterName, Double> zonePrices) {
 
 	/**
 	 * Creates the limits.
-	 * @throws IllegalArgumentException if {@code most} is less than {@code fewest}
+	 * @throws IllegalArgumentException if {@code maximumEndpoints} is less than
+	 * {@code minimumEndpoints}
 	 */
 	public ScalingLimits {
 		zonePrices = Map.copyOf(zonePrices);
-		if (most < fewest) {
-			throw new IllegalArgumentException("most must be at least " + fewest + ": " + most);
+		if (maximumEndpoints < minimumEndpoints) {
+			throw new IllegalArgumentException(
+					"maximumEndpoints must be at least " + minimumEndpoints + ": " + maximumEndpoints);
 		}
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/TokenQuota.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/configuration/TokenQuota.java
@@ -6,9 +6,9 @@
  * @param countsTokens whether the quota counts tokens; otherwise it counts requests
  * @param ratePerSecond the refill rate per second
  * @param burst the capacity of the bucket
- * @param tokensWithoutUsage the cost of a request that does not state its tokens
+ * @param defaultTokens the cost of a request that does not state its tokens
  */
-public record TokenQuota(boolean countsTokens, double ratePerSecond, double burst, long tokensWithoutUsage) {
+public record TokenQuota(boolean countsTokens, double ratePerSecond, double burst, long defaultTokens) {
 
 	/**
 	 * Creates the quota.
@@ -29,7 +29,7 @@
 		if (!this.countsTokens) {
 			return 1;
 		}
-		return (tokens > 0) ? tokens : this.tokensWithoutUsage;
+		return (tokens > 0) ? tokens : this.defaultTokens;
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/EndpointAutoscaler.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/EndpointAutoscaler.java
@@ -99,26 +99,26 @@
 		}
 		this.nextDecisionAt = now + DECISION_INTERVAL.toNanos();
 		for (Service service : current.services()) {
-			if (service.scaling() != null && !this.endpoints.changing(service.name())) {
+			if (service.scaling() != null && !this.endpoints.rolloutInProgress(service.name())) {
 				scale(service.name(), service.scaling(), now);
 			}
 		}
 	}
 
 	private void scale(ServiceName service, ScalingLimits limits, long now) {
-		List<Endpoint> listed = this.endpoints.serving(service, now);
+		List<Endpoint> listed = this.endpoints.stableEndpoints(service, now);
 		FleetView view = this.fleetView.get();
 		int inFlight = listed.stream()
 			.mapToInt((endpoint) -> endpoint.inFlight()
 					+ view.loads().getOrDefault(endpoint.id(), EndpointLoad.NONE).inFlight())
 			.sum();
-		double requiredMillisPerSecond = this.demandEstimator.perService(now).getOrDefault(service, 0.0)
-				+ view.work().getOrDefault(service, 0.0);
+		double requiredMillisPerSecond = this.demandEstimator.demandByService(now).getOrDefault(service, 0.0)
+				+ view.demand().getOrDefault(service, 0.0);
 		List<EndpointEntry> entries = listed.stream().map(Endpoint::entry).toList();
 		this.policies.computeIfAbsent(service, (name) -> new ScalingPolicy())
 			.decide(limits, entries, requiredMillisPerSecond, inFlight, this.reclaimableAvailable.contains(service),
 					now)
-			.forEach((order) -> sendOrder(new OrderKey(service, order.zone(), order.reclaimable()), order.count(),
+			.forEach((order) -> sendOrder(new OrderKey(service, order.dataCenter(), order.reclaimable()), order.count(),
 					entries, requiredMillisPerSecond, now));
 	}
 
@@ -126,14 +126,14 @@
 			long now) {
 		SentOrder previous = this.lastOrders.get(key);
 		boolean changed = previous == null || previous.count() != count;
-		int running = ScalingPolicy.running(listed, key.zone(), key.reclaimable());
+		int running = ScalingPolicy.running(listed, key.dataCenter(), key.reclaimable());
 		boolean unfilled = running != count;
 		boolean due = previous == null || now - previous.at() >= previous.interval().toNanos();
 		if (!(changed || (unfilled && due)) || !this.pendingOrders.add(key)) {
 			return;
 		}
 		this.lastOrders.put(key, new SentOrder(count, now, RETRY_INTERVAL));
-		this.duties.orderEndpoints(this.fence, key.service(), key.zone(), key.reclaimable(), count)
+		this.duties.orderEndpoints(this.fence, key.service(), key.dataCenter(), key.reclaimable(), count)
 			.whenComplete((accepted, failure) -> {
 				this.pendingOrders.remove(key);
 				if (Boolean.FALSE.equals(accepted)) {
@@ -144,7 +144,7 @@
 				}
 				log.atInfo()
 					.addKeyValue("service", key.service().value())
-					.addKeyValue("zone", key.zone().value())
+					.addKeyValue("zone", key.dataCenter().value())
 					.addKeyValue("reclaimable", key.reclaimable())
 					.addKeyValue("count", count)
 					.addKeyValue("running", running)
@@ -167,7 +167,7 @@
 	private record SentOrder(int count, long at, Duration interval) {
 	}
 
-	private record OrderKey(ServiceName service, DataCenterName zone, boolean reclaimable) {
+	private record OrderKey(ServiceName service, DataCenterName dataCenter, boolean reclaimable) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/FleetExchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/FleetExchange.java
@@ -146,19 +146,19 @@
 
 	void report(long now) {
 		GatewayReport own = this.ownReport.get();
-		this.peerTable.ownReport(own);
+		this.peerTable.setOwnReport(own);
 		this.reportingMembers.values().removeIf((at) -> now - at > MEMBER_TIMEOUT.toNanos());
 		String group = this.directory.ownGroup();
 		List<String> aggregators = aggregators(group, now);
 		updateAggregators(group, aggregators);
-		boolean aggregates = aggregators.contains(this.name);
-		this.peerTable.configure(aggregates, this.directory.groups(), responseTimeout());
+		boolean aggregator = aggregators.contains(this.name);
+		this.peerTable.configure(aggregator, this.directory.groups(), responseTimeout());
 		byte[] report = this.codec.write(new PeerMessage.Report(own));
 		send(withProbes(group, aggregators, now), report);
 		if (this.directory.fullMesh()) {
 			sendToOtherGroups(report, now);
 		}
-		else if (aggregates) {
+		else if (aggregator) {
 			sendToOtherGroups(this.codec.write(new PeerMessage.Summary(this.peerTable.groupSummary(group, now))), now);
 		}
 		if (!this.reportingMembers.isEmpty()) {
@@ -255,10 +255,10 @@
 					if (!this.directory.fullMesh()) {
 						this.reportingMembers.put(sender, this.clock.nanos());
 					}
-					this.remoteUsage.accept(this.peerTable.read(received.report(), this.clock.nanos()));
+					this.remoteUsage.accept(this.peerTable.receive(received.report(), this.clock.nanos()));
 				}
 				case PeerMessage.Summary received ->
-					this.remoteUsage.accept(this.peerTable.read(received.summary(), this.clock.nanos()));
+					this.remoteUsage.accept(this.peerTable.receive(received.summary(), this.clock.nanos()));
 				case PeerMessage.Relay received -> this.relayedRecords.accept(received.records());
 			}
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/Gateway.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/Gateway.java
@@ -186,7 +186,7 @@
 		this.address = new GatewayAddress(settings.name(), settings.peers(), settings.dataCenter(),
 				settings.processorShare());
 		this.fleetExchange = new FleetExchange(this.address, this.eventLoop, this.clock, this.peerChannel,
-				this.peerTable, this::report, this.requestDispatcher::remoteUsage, this::applyRelayed);
+				this.peerTable, this::report, this.requestDispatcher::addRemoteUsage, this::applyRelayed);
 		this.eventLoops = eventLoops;
 		this.statusServer = new StatusServer(eventLoops, this::ready, new MetricsText(registry));
 		LeaseElector leaseElector = new LeaseElector(settings.name(), this.incarnation, settings.lease(),
@@ -201,7 +201,7 @@
 		this.readDelegation = new ReadDelegation(this.clock, this.incarnation);
 		this.sharedState = new SharedStateFollower(this.topics, this.eventLoop, this.clock, recordCodec, this.endpoints,
 				this.readDelegation::delegatesSharedState, this::maximumRetryDelay, this.fleetExchange::relay,
-				this.fleetExchange::forward, this::configure, this.rollouts::ordered, settings.changeDeadline());
+				this.fleetExchange::forward, this::configure, this.rollouts::addOrder, settings.changeDeadline());
 	}
 
 	/**
@@ -246,16 +246,16 @@
 	}
 
 	private Duration leasePollInterval() {
-		if (this.fleetView.leaseHeld()) {
+		if (this.fleetView.leaseHeldElsewhere()) {
 			return LEASE_POLL_INTERVAL;
 		}
-		return (this.fleetView.aggregates() || this.leaseHolderDuties.holdsLease()) ? UNHELD_LEASE_POLL_INTERVAL
+		return (this.fleetView.aggregator() || this.leaseHolderDuties.holdsLease()) ? UNHELD_LEASE_POLL_INTERVAL
 				: NON_AGGREGATOR_LEASE_POLL_INTERVAL;
 	}
 
 	// An aggregator relays what it reads, so that the others need not read as often.
 	private Duration maximumRetryDelay() {
-		return this.fleetView.aggregates() ? AGGREGATOR_MAXIMUM_RETRY_DELAY : MAXIMUM_RETRY_DELAY;
+		return this.fleetView.aggregator() ? AGGREGATOR_MAXIMUM_RETRY_DELAY : MAXIMUM_RETRY_DELAY;
 	}
 
 	private Collection<String> gateways() {
@@ -290,8 +290,8 @@
 	}
 
 	private GatewayReport report() {
-		TrafficTotals traffic = new TrafficTotals(this.usage.counts(), this.requestDispatcher.used(),
-				this.demandEstimator.perService(this.clock.nanos()), endpointLoads(), this.rollouts.report(),
+		TrafficTotals traffic = new TrafficTotals(this.usage.counts(), this.requestDispatcher.quotaUsage(),
+				this.demandEstimator.demandByService(this.clock.nanos()), endpointLoads(), this.rollouts.report(),
 				rateLimits(this.clock.nanos()));
 		return new GatewayReport(this.incarnation, this.settings.dataCenter(), traffic,
 				this.leaseHolderDuties.holdsLease(), this.sharedState.sharedStateVersion());
@@ -301,7 +301,7 @@
 		Map<EndpointId, EndpointLoad> loads = new HashMap<>();
 		for (Endpoint endpoint : this.endpoints.all()) {
 			if (endpoint.inFlight() > 0) {
-				loads.put(endpoint.id(), new EndpointLoad(endpoint.inFlight(), endpoint.waitingTokens()));
+				loads.put(endpoint.id(), new EndpointLoad(endpoint.inFlight(), endpoint.pendingPrefillTokens()));
 			}
 		}
 		return loads;
@@ -332,16 +332,16 @@
 	private void applyFleetView(long now) {
 		this.fleetView = this.peerTable.view(now);
 		this.readDelegation.update(this.fleetView);
-		this.requestDispatcher.fleet(this.fleetView.others() + 1, this.fleetView.reachableShare());
-		this.placementRule.unreachable(this.fleetView.unreachableDataCenters());
+		this.requestDispatcher.updateFleet(this.fleetView.otherGateways() + 1, this.fleetView.reachableShare());
+		this.placementRule.setUnreachableDataCenters(this.fleetView.unreachableDataCenters());
 		applyRateLimits(now);
-		this.rollouts.decided(this.fleetView.rollouts().rollouts(), now);
+		this.rollouts.applyDecisions(this.fleetView.rollouts().rollouts(), now);
 		if (this.configuration != null) {
-			this.servingEndpoints.noteVersions(this.configuration.serviceNames());
+			this.servingEndpoints.recordVersions(this.configuration.serviceNames());
 		}
 		for (Endpoint endpoint : this.endpoints.all()) {
 			EndpointLoad load = this.fleetView.loads().getOrDefault(endpoint.id(), EndpointLoad.NONE);
-			endpoint.others(load.inFlight(), load.pendingPrefillTokens());
+			endpoint.updateRemoteLoad(load.inFlight(), load.pendingPrefillTokens());
 		}
 	}
 
@@ -349,10 +349,11 @@
 		try {
 			long now = this.clock.nanos();
 			this.eventLoopLag.timerFired(now);
-			this.endpoints.expire(now).forEach((id) -> log.atInfo().addKeyValue("endpoint", id).log("endpoint gone"));
+			this.endpoints.removeExpired(now)
+				.forEach((id) -> log.atInfo().addKeyValue("endpoint", id).log("endpoint gone"));
 			this.peerTable.expire(now);
 			applyFleetView(now);
-			this.sharedState.reconcile(this.fleetView.known(), now);
+			this.sharedState.reconcile(this.fleetView.sharedState(), now);
 			this.metrics.endpointsAge(this.sharedState.endpointsAge(now));
 			if (this.settings.reportsUsage() || this.settings.ordersEndpoints()) {
 				this.leaseHolderDuties.tick();
@@ -378,7 +379,7 @@
 	public void stop() throws InterruptedException {
 		this.eventLoop.execute(() -> this.stopping = true);
 		new GracefulShutdown(this.eventLoop, this.clock, this.callerServer, this.requestDispatcher)
-			.run(this.settings.stopTime());
+			.run(this.settings.shutdownTimeout());
 	}
 
 	/**
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayMetrics.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewayMetrics.java
@@ -140,8 +140,8 @@
 	public void ended(EndedRequest request) {
 		this.requests.labelValues(request.outcome()).inc();
 		this.requestDuration.observe(request.elapsed().toNanos() / 1e9);
-		if (request.untilFirst() != null) {
-			this.firstByteLatency.observe(request.untilFirst().toNanos() / 1e9);
+		if (request.timeToFirstByte() != null) {
+			this.firstByteLatency.observe(request.timeToFirstByte().toNanos() / 1e9);
 		}
 		if (tryAcquireLine()) {
 			log.atInfo()
@@ -151,7 +151,8 @@
 				.addKeyValue("status", request.status())
 				.addKeyValue("endpoint", request.endpoint())
 				.addKeyValue("attempts", request.attempts())
-				.addKeyValue("firstByteMs", (request.untilFirst() != null) ? request.untilFirst().toMillis() : null)
+				.addKeyValue("firstByteMs",
+						(request.timeToFirstByte() != null) ? request.timeToFirstByte().toMillis() : null)
 				.addKeyValue("elapsedMs", request.elapsed().toMillis())
 				.addKeyValue("configuration", request.version())
 				.log("request ended");
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewaySettings.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GatewaySettings.java
@@ -22,7 +22,7 @@
  * @param usageWindow the length of a window of the usage report
  * @param reportsUsage whether this gateway may report usage
  * @param ordersEndpoints whether this gateway may order endpoints
- * @param stopTime the time from the termination signal to the forced termination
+ * @param shutdownTimeout the time from the termination signal to the forced termination
  * @param exposureLimits the limits of requests to an unproven version
  * @param processorShare the processor share of the VM, in cores
  * @param changeDeadline the time within which a change in the store must be in force
@@ -30,7 +30,7 @@
 public record GatewaySettings(String name, DataCenterName dataCenter, InetSocketAddress callers,
 		InetSocketAddress readiness, @Nullable InetSocketAddress metrics, InetSocketAddress peers,
 		RetryLimits retryLimits, Duration lease, Duration usageWindow, boolean reportsUsage, boolean ordersEndpoints,
-		Duration stopTime, ExposureLimits exposureLimits, double processorShare, Duration changeDeadline) {
+		Duration shutdownTimeout, ExposureLimits exposureLimits, double processorShare, Duration changeDeadline) {
 
 	/**
 	 * Creates the settings.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GracefulShutdown.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/GracefulShutdown.java
@@ -54,20 +54,21 @@
 
 	/**
 	 * Runs the shutdown. Returns when no connection remains or the time is up.
-	 * @param stopTime the time from the termination signal to the forced termination
+	 * @param shutdownTimeout the time from the termination signal to the forced
+	 * termination
 	 * @throws InterruptedException if the thread is interrupted
 	 */
-	void run(Duration stopTime) throws InterruptedException {
+	void run(Duration shutdownTimeout) throws InterruptedException {
 		long startedAt = this.clock.nanos();
 		log.atInfo().addKeyValue("inProgress", this.requestDispatcher.inProgress()).log("stopping");
 		this.eventLoop.execute(this.callerServer::stop);
 		TimeUnit.MILLISECONDS.sleep(LONG_REQUESTS_REJECTED_AFTER.toMillis());
-		this.eventLoop.execute(() -> this.requestDispatcher.drain(DrainPhase.SHORT_ONES));
-		long deadline = startedAt + stopTime.minus(RESPONSE_FLUSH_TIME).toNanos();
+		this.eventLoop.execute(() -> this.requestDispatcher.setDrainPhase(DrainPhase.NON_STREAMING));
+		long deadline = startedAt + shutdownTimeout.minus(RESPONSE_FLUSH_TIME).toNanos();
 		long rejectAllAt = deadline - REJECT_ALL_PERIOD.toNanos();
 		while (this.clock.nanos() < deadline && closeIdleConnections() > 0) {
 			if (this.clock.nanos() > rejectAllAt) {
-				this.eventLoop.execute(() -> this.requestDispatcher.drain(DrainPhase.NONE));
+				this.eventLoop.execute(() -> this.requestDispatcher.setDrainPhase(DrainPhase.NONE));
 			}
 			TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL.toMillis());
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseHolderDuties.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/LeaseHolderDuties.java
@@ -96,7 +96,7 @@
 		}
 		try {
 			LeaseRecord record = this.codec.read(entry.value());
-			this.leaseElector.read(record, this.clock.nanos());
+			this.leaseElector.apply(record, this.clock.nanos());
 			this.persistedReports = this.leaseElector.reports();
 		}
 		catch (RuntimeException ex) {
@@ -109,7 +109,7 @@
 
 	@Override
 	public void readThrough(long nextOffset) {
-		this.leaseElector.ends(nextOffset);
+		this.leaseElector.advanceTopicEnd(nextOffset);
 	}
 
 	void configure(Configuration configuration) {
@@ -117,19 +117,19 @@
 	}
 
 	boolean holdsLease() {
-		return this.leaseElector.holds(this.clock.nanos());
+		return this.leaseElector.holdsLease(this.clock.nanos());
 	}
 
 	void tick() {
 		long now = this.clock.nanos();
 		releaseAfterPause(now);
-		boolean holds = this.leaseElector.holds(now);
-		if (holds != this.previouslyHeld) {
-			this.previouslyHeld = holds;
-			log.atInfo().addKeyValue("fence", this.leaseElector.fence()).log(holds ? "lease taken" : "lease lost");
+		boolean holdsLease = this.leaseElector.holdsLease(now);
+		if (holdsLease != this.previouslyHeld) {
+			this.previouslyHeld = holdsLease;
+			log.atInfo().addKeyValue("fence", this.leaseElector.fence()).log(holdsLease ? "lease taken" : "lease lost");
 		}
-		renew(now, holds);
-		if (holds) {
+		renew(now, holdsLease);
+		if (holdsLease) {
 			this.persistedReports.forEach(this::sendReport);
 			this.autoscaler.tick(this.leaseElector.fence(), now);
 			this.rolloutExecutor.tick(this.leaseElector.fence(), this.leaseElector.rollouts(), now);
@@ -143,29 +143,30 @@
 		this.lastMonotonicNanos = now;
 		if (drift.compareTo(MAXIMUM_CLOCK_DRIFT) > 0) {
 			log.atWarn().addKeyValue("driftMs", drift.toMillis()).log("clock moved");
-			this.leaseElector.stoodStill(now);
+			this.leaseElector.onProcessPause(now);
 		}
 	}
 
-	private void renew(long now, boolean holds) {
+	private void renew(long now, boolean holdsLease) {
 		List<UsageReport> recordedReports = this.leaseElector.reports();
-		List<UsageReport> reports = holds ? this.usageReportPlanner.toName(recordedReports, this.wallClock.instant(),
-				(window) -> new UsageReport(window, this.peerTable.counted(window))) : recordedReports;
-		List<Rollout> rollouts = holds ? this.rolloutExecutor.rolloutsToPersist() : this.leaseElector.rollouts();
+		List<UsageReport> reports = holdsLease ? this.usageReportPlanner.reportsToRecord(recordedReports,
+				this.wallClock.instant(), (window) -> new UsageReport(window, this.peerTable.usageCounts(window)))
+				: recordedReports;
+		List<Rollout> rollouts = holdsLease ? this.rolloutExecutor.rolloutsToPersist() : this.leaseElector.rollouts();
 		boolean urgent = !reports.equals(recordedReports) || !rollouts.equals(this.leaseElector.rollouts());
-		LeaseRecord renewal = this.leaseElector.toAppend(reports, rollouts, urgent, now);
+		LeaseRecord renewal = this.leaseElector.nextRecord(reports, rollouts, urgent, now);
 		if (renewal == null) {
 			return;
 		}
-		this.topics.appendAt(Topic.LEASES, LEASE_KEY, this.codec.write(renewal), this.leaseElector.expectedEnd())
+		this.topics.appendAt(Topic.LEASES, LEASE_KEY, this.codec.write(renewal), this.leaseElector.expectedEndOffset())
 			.whenComplete((outcome, failure) -> {
 				switch (outcome) {
 					case AppendOutcome.Appended appended -> {
-						this.leaseElector.appended(renewal, appended.offset(), this.clock.nanos());
+						this.leaseElector.appendSucceeded(renewal, appended.offset(), this.clock.nanos());
 						this.persistedReports = this.leaseElector.reports();
 					}
-					case AppendOutcome.Moved moved -> this.leaseElector.notAppended(renewal);
-					case null -> this.leaseElector.notAppended(renewal);
+					case AppendOutcome.Moved moved -> this.leaseElector.appendFailed(renewal);
+					case null -> this.leaseElector.appendFailed(renewal);
 				}
 			});
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessageCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/PeerMessageCodec.java
@@ -47,7 +47,7 @@
 		out.writeLong(report.incarnation());
 		BinaryFields.writeText(out, report.dataCenter().value());
 		out.writeBoolean(report.holdsLease());
-		writeSharedState(out, report.known());
+		writeSharedState(out, report.sharedState());
 		TrafficTotalsCodec.write(out, report.traffic());
 	}
 
@@ -58,7 +58,7 @@
 		out.writeBoolean(group != null);
 		BinaryFields.writeText(out, (group != null) ? group : "");
 		out.writeLong(summary.leaseHolder());
-		writeSharedState(out, summary.known());
+		writeSharedState(out, summary.sharedState());
 		BinaryFields.writeVarint(out, summary.readers().size());
 		summary.readers().forEach(out::writeLong);
 		BinaryFields.writeVarint(out, summary.presence().size());
@@ -72,8 +72,8 @@
 	}
 
 	private static void writeSharedState(ByteBuf out, SharedStateVersion sharedState) {
-		out.writeBoolean(sharedState.reads());
-		out.writeLong(sharedState.endpointsNext());
+		out.writeBoolean(sharedState.readsStore());
+		out.writeLong(sharedState.endpointsNextOffset());
 		out.writeLong(sharedState.endpointsDigest());
 		BinaryFields.writeVarint(out, sharedState.endpointsAge().toMillis());
 		out.writeLong(sharedState.configurationOffset());
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/ReadDelegation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/ReadDelegation.java
@@ -55,10 +55,10 @@
 	 */
 	void update(FleetView newest) {
 		this.fleetView = newest;
-		if (newest.readingIsLeftToOthers(this.incarnation)) {
+		if (newest.delegatesReading(this.incarnation)) {
 			this.readersLastSeenAt = this.clock.nanos();
 		}
-		if (newest.leaseHeld()) {
+		if (newest.leaseHeldElsewhere()) {
 			this.holderLastSeenAt = this.clock.nanos();
 		}
 	}
@@ -68,7 +68,7 @@
 	 * @return whether they do or are expected to do so shortly
 	 */
 	boolean delegatesSharedState() {
-		return this.fleetView.readingIsLeftToOthers(this.incarnation)
+		return this.fleetView.delegatesReading(this.incarnation)
 				|| withinTimeout(this.readersLastSeenAt, MISSING_READERS_TIMEOUT);
 	}
 
@@ -77,12 +77,12 @@
 	 * @return whether they do or are expected to do so shortly
 	 */
 	boolean delegatesLease() {
-		return !this.fleetView.aggregates()
-				&& (this.fleetView.leaseHeld() || withinTimeout(this.holderLastSeenAt, MISSING_HOLDER_TIMEOUT));
+		return !this.fleetView.aggregator() && (this.fleetView.leaseHeldElsewhere()
+				|| withinTimeout(this.holderLastSeenAt, MISSING_HOLDER_TIMEOUT));
 	}
 
 	private boolean withinTimeout(long lastSeenAt, Duration timeout) {
-		return !this.fleetView.aggregates() && this.fleetView.hearsOthers()
+		return !this.fleetView.aggregator() && this.fleetView.reachesOthers()
 				&& this.clock.nanos() - lastSeenAt < timeout.toNanos();
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutExecutor.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutExecutor.java
@@ -94,7 +94,8 @@
 			this.completionPersistedAt.clear();
 		}
 		this.persistedRollouts = recordedRollouts;
-		this.table.decided(recordedRollouts.stream().filter((rollout) -> rollout.stage().settled()).toList(), now);
+		this.table.applyDecisions(recordedRollouts.stream().filter((rollout) -> rollout.stage().isTerminal()).toList(),
+				now);
 		for (RolloutOrder order : this.table.orders()) {
 			decide(order);
 		}
@@ -114,7 +115,7 @@
 				.addKeyValue("candidate", order.candidate())
 				.log("rollout started");
 		}
-		if (current.stage().settled()) {
+		if (current.stage().isTerminal()) {
 			this.decisions.put(order.service(), current);
 			return;
 		}
@@ -122,7 +123,7 @@
 		RolloutController.Step step = this.controller.next(current, fleetReport, countVersions(order),
 				this.wallClock.instant());
 		this.revision++;
-		this.decisions.put(order.service(), current.with(this.revision, step.stage()));
+		this.decisions.put(order.service(), current.withDecision(this.revision, step.stage()));
 		if (!step.stage().equals(current.stage())) {
 			log.atInfo()
 				.addKeyValue("service", order.service())
@@ -149,7 +150,7 @@
 	}
 
 	private String servingVersion(RolloutOrder order) {
-		return this.endpoints.listed(order.service())
+		return this.endpoints.endpointsOf(order.service())
 			.stream()
 			.map((endpoint) -> endpoint.entry().version())
 			.filter((version) -> !version.equals(order.candidate()))
@@ -164,7 +165,7 @@
 	private EndpointCounts countVersions(RolloutOrder order) {
 		int candidate = 0;
 		int baseline = 0;
-		for (Endpoint endpoint : this.endpoints.listed(order.service())) {
+		for (Endpoint endpoint : this.endpoints.endpointsOf(order.service())) {
 			if (endpoint.entry().draining()) {
 				continue;
 			}
@@ -179,11 +180,11 @@
 	}
 
 	private void publish(Rollout rollout, long now) {
-		boolean persisted = this.persistedRollouts.contains(rollout.durable());
-		if (rollout.stage().settled() && !persisted) {
+		boolean persisted = this.persistedRollouts.contains(rollout.withoutWeights());
+		if (rollout.stage().isTerminal() && !persisted) {
 			return;
 		}
-		this.table.decided(List.of(rollout), now);
+		this.table.applyDecisions(List.of(rollout), now);
 		if (!persisted) {
 			return;
 		}
@@ -204,7 +205,7 @@
 	List<Rollout> rolloutsToPersist() {
 		Map<ServiceName, Rollout> newest = new HashMap<>();
 		this.persistedRollouts.forEach((rollout) -> newest.put(rollout.order().service(), rollout));
-		this.decisions.forEach((service, rollout) -> newest.merge(service, rollout.durable(), Rollout::newerOf));
+		this.decisions.forEach((service, rollout) -> newest.merge(service, rollout.withoutWeights(), Rollout::newerOf));
 		return newest.values()
 			.stream()
 			.sorted(Comparator.comparing((rollout) -> rollout.order().service().value()))
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutStatusPublisher.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/RolloutStatusPublisher.java
@@ -62,7 +62,7 @@
 		}
 		this.pendingWrites.add(service);
 		this.lastAttemptAt.put(service, now);
-		this.topics.newest(Topic.STATUS, null).whenComplete((page, failure) -> {
+		this.topics.readLatest(Topic.STATUS, null).whenComplete((page, failure) -> {
 			if (page == null) {
 				this.pendingWrites.remove(service);
 				log.atWarn().addKeyValue("service", service).addKeyValue("cause", failure).log("rollout status unread");
@@ -72,7 +72,7 @@
 				this.published.put(service, desired);
 			}
 			else {
-				append(rollout, desired, page.next());
+				append(rollout, desired, page.nextOffset());
 			}
 		});
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/SharedStateFollower.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/SharedStateFollower.java
@@ -202,10 +202,10 @@
 	}
 
 	SharedStateVersion sharedStateVersion() {
-		boolean reads = this.endpointFollower.hasReadWithin(MAXIMUM_ENDPOINTS_READ_AGE)
+		boolean readsStore = this.endpointFollower.hasReadWithin(MAXIMUM_ENDPOINTS_READ_AGE)
 				&& this.configurationFollower.hasReadWithin(MAXIMUM_CONFIGURATION_READ_AGE);
 		long digest = this.digests.values().stream().mapToLong(Long::longValue).sum();
-		return new SharedStateVersion(reads, this.endpointFollower.knownEndOffset(), digest,
+		return new SharedStateVersion(readsStore, this.endpointFollower.knownEndOffset(), digest,
 				endpointsAge(this.clock.nanos()), this.configurationOffset);
 	}
 
@@ -253,13 +253,13 @@
 	 */
 	void reconcile(SharedStateVersion mostRecent, long now) {
 		SharedStateVersion own = sharedStateVersion();
-		if (own.confirmedBy(mostRecent)) {
+		if (own.endpointsConfirmedBy(mostRecent)) {
 			this.endpointFollower.confirm(now - mostRecent.endpointsAge().toNanos());
 		}
 		countUnansweredTicks();
 		logStaleness(now);
-		boolean following = mostRecent.reads() && this.readsDelegated.getAsBoolean();
-		this.endpointsBehindSince = behindSince(following && own.missesEndpointsOf(mostRecent),
+		boolean following = mostRecent.readsStore() && this.readsDelegated.getAsBoolean();
+		this.endpointsBehindSince = behindSince(following && own.endpointsStaleComparedTo(mostRecent),
 				this.endpointsBehindSince, this.endpointFollower, now);
 		this.configurationBehindSince = behindSince(
 				following && mostRecent.configurationOffset() > own.configurationOffset(),
@@ -409,8 +409,8 @@
 	// the values so that sums of different entries differ.
 	private static long digest(EndpointEntry entry) {
 		long mixed = Objects.hash(entry.id().value(), entry.service().value(), entry.version(),
-				entry.address().toString(), entry.zone().value(), entry.slots(), entry.draining(), entry.reclaimable(),
-				entry.startedAt());
+				entry.address().toString(), entry.dataCenter().value(), entry.slots(), entry.draining(),
+				entry.reclaimable(), entry.startedAt());
 		return mixed * 0x9e3779b97f4a7c15L;
 	}
 
@@ -444,7 +444,7 @@
 					.addKeyValue("service", read.service())
 					.addKeyValue("version", read.version())
 					.addKeyValue("address", read.address())
-					.addKeyValue("zone", read.zone())
+					.addKeyValue("zone", read.dataCenter())
 					.addKeyValue("reclaimable", read.reclaimable())
 					.addKeyValue("draining", read.draining())
 					.addKeyValue("passedOn", SharedStateFollower.this.currentRelay != null)
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TopicFollower.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TopicFollower.java
@@ -106,7 +106,7 @@
 			readListing(null);
 		}
 		else {
-			this.topics.changes(this.topic, this.nextOffset, this.pollingPolicy.longPollTimeout())
+			this.topics.readChanges(this.topic, this.nextOffset, this.pollingPolicy.longPollTimeout())
 				.whenComplete(this::readChanges);
 		}
 	}
@@ -212,21 +212,21 @@
 	}
 
 	private void readListing(@Nullable String after) {
-		this.topics.newest(this.topic, after).whenComplete((page, failure) -> {
+		this.topics.readLatest(this.topic, after).whenComplete((page, failure) -> {
 			if (page == null) {
 				readFailed(failure);
 				return;
 			}
 			readSucceeded();
 			if (this.listedEndOffset < 0) {
-				this.listedEndOffset = page.next();
+				this.listedEndOffset = page.nextOffset();
 			}
 			for (TopicRecord entry : page.records()) {
 				this.listedKeys.add(entry.key());
 				apply(entry);
 			}
-			if (page.more() != null) {
-				readListing(page.more());
+			if (page.nextKey() != null) {
+				readListing(page.nextKey());
 			}
 			else {
 				completeListing();
@@ -263,13 +263,13 @@
 			return;
 		}
 		page.records().forEach(this::apply);
-		boolean more = page.next() > this.nextOffset;
-		this.nextOffset = page.next();
-		if (!more || page.more() == null) {
+		boolean more = page.nextOffset() > this.nextOffset;
+		this.nextOffset = page.nextOffset();
+		if (!more || page.nextKey() == null) {
 			confirm(this.requestedAt);
 		}
 		this.listener.readThrough(this.nextOffset);
-		scheduleNextRead((more && page.more() != null) ? Duration.ZERO : this.pollingPolicy.pollInterval().get());
+		scheduleNextRead((more && page.nextKey() != null) ? Duration.ZERO : this.pollingPolicy.pollInterval().get());
 	}
 
 	private void apply(TopicRecord entry) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TrafficTotalsCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/TrafficTotalsCodec.java
@@ -30,15 +30,15 @@
 		BinaryFields.writeVarint(out, accounts.size());
 		for (AccountName account : accounts) {
 			BinaryFields.writeText(out, account.value());
-			BinaryFields.writeVarint(out, Math.round(traffic.used().getOrDefault(account, 0.0)));
+			BinaryFields.writeVarint(out, Math.round(traffic.quotaUsed().getOrDefault(account, 0.0)));
 		}
-		BinaryFields.writeVarint(out, traffic.counts().size());
-		traffic.counts().forEach((window, counts) -> {
+		BinaryFields.writeVarint(out, traffic.usageCounts().size());
+		traffic.usageCounts().forEach((window, counts) -> {
 			BinaryFields.writeVarint(out, window);
 			accounts.forEach((account) -> BinaryFields.writeVarint(out, counts.getOrDefault(account, 0L)));
 		});
-		BinaryFields.writeVarint(out, traffic.work().size());
-		traffic.work().forEach((service, millis) -> {
+		BinaryFields.writeVarint(out, traffic.demand().size());
+		traffic.demand().forEach((service, millis) -> {
 			BinaryFields.writeText(out, service.value());
 			BinaryFields.writeVarint(out, Math.round(millis));
 		});
@@ -68,28 +68,29 @@
 	}
 
 	private static List<AccountName> accounts(TrafficTotals traffic) {
-		Set<AccountName> accounts = new TreeSet<>(traffic.used().keySet());
-		traffic.counts().values().forEach((counts) -> accounts.addAll(counts.keySet()));
+		Set<AccountName> accounts = new TreeSet<>(traffic.quotaUsed().keySet());
+		traffic.usageCounts().values().forEach((counts) -> accounts.addAll(counts.keySet()));
 		return List.copyOf(accounts);
 	}
 
 	static TrafficTotals read(ByteBuf in) {
 		List<AccountName> accounts = new ArrayList<>();
-		Map<AccountName, Double> used = new HashMap<>();
+		Map<AccountName, Double> quotaUsed = new HashMap<>();
 		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
 			AccountName account = new AccountName(BinaryFields.readText(in));
 			accounts.add(account);
-			used.put(account, (double) BinaryFields.readVarint(in));
+			quotaUsed.put(account, (double) BinaryFields.readVarint(in));
 		}
-		Map<Long, Map<AccountName, Long>> counts = new HashMap<>();
+		Map<Long, Map<AccountName, Long>> usageCounts = new HashMap<>();
 		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
-			counts.put(BinaryFields.readVarint(in), readCounts(in, accounts));
+			usageCounts.put(BinaryFields.readVarint(in), readCounts(in, accounts));
 		}
-		Map<ServiceName, Double> work = new HashMap<>();
+		Map<ServiceName, Double> demand = new HashMap<>();
 		for (int remaining = BinaryFields.readCount(in); remaining > 0; remaining--) {
-			work.put(new ServiceName(BinaryFields.readText(in)), (double) BinaryFields.readVarint(in));
+			demand.put(new ServiceName(BinaryFields.readText(in)), (double) BinaryFields.readVarint(in));
 		}
-		return new TrafficTotals(counts, used, work, readLoads(in), RolloutReportCodec.read(in), readRateLimits(in));
+		return new TrafficTotals(usageCounts, quotaUsed, demand, readLoads(in), RolloutReportCodec.read(in),
+				readRateLimits(in));
 	}
 
 	private static Map<EndpointId, ObservedRateLimit> readRateLimits(ByteBuf in) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DataCenterFailureDetector.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DataCenterFailureDetector.java
@@ -41,7 +41,9 @@
 	Set<DataCenterName> update(Collection<EndpointEntry> listed, List<DataCenterName> dataCenters, long now) {
 		Set<DataCenterName> unreachable = new HashSet<>();
 		for (DataCenterName dataCenter : dataCenters) {
-			List<EndpointEntry> entries = listed.stream().filter((entry) -> entry.zone().equals(dataCenter)).toList();
+			List<EndpointEntry> entries = listed.stream()
+				.filter((entry) -> entry.dataCenter().equals(dataCenter))
+				.toList();
 			if (entries.stream().anyMatch((entry) -> !entry.draining())) {
 				this.serving.add(dataCenter);
 				this.unreachableSince.remove(dataCenter);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DemandEstimator.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/DemandEstimator.java
@@ -36,7 +36,7 @@
 	 * @param now the current time, in ns of the monotonic clock
 	 * @return the engine time in ms per second, by service
 	 */
-	public Map<ServiceName, Double> perService(long now) {
+	public Map<ServiceName, Double> demandByService(long now) {
 		Map<ServiceName, Double> all = new HashMap<>();
 		this.rates.forEach((service, rate) -> all.put(service, rate.at(now)));
 		return all;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetAggregation.java
@@ -51,9 +51,9 @@
 			addTraffic(report.traffic(), elapsed);
 			this.leaseHolder = report.holdsLease() ? report.incarnation() : this.leaseHolder;
 		}
-		if (responding && report.known().reads()) {
+		if (responding && report.sharedState().readsStore()) {
 			this.readers.add(report.incarnation());
-			updateSharedState(report.known().aged(elapsed));
+			updateSharedState(report.sharedState().aged(elapsed));
 		}
 	}
 
@@ -74,7 +74,7 @@
 		this.leaseHolder = (current.leaseHolder() != 0) ? current.leaseHolder() : this.leaseHolder;
 		if (responding) {
 			this.readers.addAll(current.readers());
-			updateSharedState(current.known().aged(elapsed));
+			updateSharedState(current.sharedState().aged(elapsed));
 		}
 	}
 
@@ -85,7 +85,7 @@
 	void remove(GatewayReport report) {
 		this.presence.computeIfPresent(report.dataCenter(), (name, part) -> part.minusOne());
 		report.traffic()
-			.work()
+			.demand()
 			.forEach((service, millis) -> this.demand.computeIfPresent(service,
 					(name, sum) -> Math.max(0, sum - millis)));
 		report.traffic()
@@ -101,7 +101,7 @@
 	}
 
 	private void addTraffic(TrafficTotals traffic, Duration elapsed) {
-		traffic.work().forEach((service, millis) -> this.demand.merge(service, millis, Double::sum));
+		traffic.demand().forEach((service, millis) -> this.demand.merge(service, millis, Double::sum));
 		traffic.loads().forEach((endpoint, load) -> this.loads.merge(endpoint, load, EndpointLoad::plus));
 		this.rollouts = this.rollouts.plus(traffic.rollouts());
 		traffic.rateLimits()
@@ -110,7 +110,7 @@
 	}
 
 	private void updateSharedState(SharedStateVersion candidate) {
-		if (candidate.reads() && (!this.sharedState.reads() || candidate.isNewerThan(this.sharedState))) {
+		if (candidate.readsStore() && (!this.sharedState.readsStore() || candidate.isNewerThan(this.sharedState))) {
 			this.sharedState = candidate;
 		}
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetSummary.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetSummary.java
@@ -12,11 +12,11 @@
  * @param presence the gateways by data centre
  * @param traffic their aggregated traffic
  * @param leaseHolder the incarnation of the holder of the lease, 0 if none is known
- * @param known the most recent shared state of any gateway that reads the store
+ * @param sharedState the most recent shared state of any gateway that reads the store
  * @param readers the incarnations of the processes that read the store, the lowest first
  */
 public record FleetSummary(long incarnation, @Nullable String group, List<DataCenterPresence> presence,
-		TrafficTotals traffic, long leaseHolder, SharedStateVersion known, List<Long> readers) {
+		TrafficTotals traffic, long leaseHolder, SharedStateVersion sharedState, List<Long> readers) {
 
 	/**
 	 * Creates a summary.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetView.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/FleetView.java
@@ -14,24 +14,25 @@
 /**
  * A gateway's view of the other gateways at one point in time.
  *
- * @param others the number of other gateways in the fleet
+ * @param otherGateways the number of other gateways in the fleet
  * @param reachableShare the fraction of the fleet that is reachable, including this
  * gateway
  * @param unreachableDataCenters the other data centres without a responding gateway
  * @param loads the load of the other gateways at each endpoint
- * @param work the engine time required by the other gateways' requests, in ms per second,
- * by service
+ * @param demand the engine time required by the other gateways' requests, in ms per
+ * second, by service
  * @param rollouts the rollout samples of the other gateways
  * @param rateLimits the newest rate limits that endpoints reported to any gateway
- * @param leaseHeld whether another gateway holds the lease of the fleet-wide duties
- * @param known the most recent shared state of any gateway that reads the store
+ * @param leaseHeldElsewhere whether another gateway holds the lease of the fleet-wide
+ * duties
+ * @param sharedState the most recent shared state of any gateway that reads the store
  * @param readers the incarnations of the processes that read the store, the lowest first
- * @param aggregates whether this gateway is an aggregator of its group
+ * @param aggregator whether this gateway is an aggregator of its group
  */
-public record FleetView(int others, double reachableShare, Set<DataCenterName> unreachableDataCenters,
-		Map<EndpointId, EndpointLoad> loads, Map<ServiceName, Double> work, RolloutReport rollouts,
-		Map<EndpointId, ObservedRateLimit> rateLimits, boolean leaseHeld, SharedStateVersion known, List<Long> readers,
-		boolean aggregates) {
+public record FleetView(int otherGateways, double reachableShare, Set<DataCenterName> unreachableDataCenters,
+		Map<EndpointId, EndpointLoad> loads, Map<ServiceName, Double> demand, RolloutReport rollouts,
+		Map<EndpointId, ObservedRateLimit> rateLimits, boolean leaseHeldElsewhere, SharedStateVersion sharedState,
+		List<Long> readers, boolean aggregator) {
 
 	/** The view of a gateway without known peers. */
 	public static final FleetView ALONE = new FleetView(0, 1, Set.of(), Map.of(), Map.of(), RolloutReport.NONE,
@@ -47,10 +48,10 @@
 	 * Creates the view of a gateway.
 	 * @param others the summary of the other gateways
 	 * @param ownDataCenter the gateway's data centre
-	 * @param aggregates whether it is an aggregator of its group
+	 * @param aggregator whether it is an aggregator of its group
 	 * @return the view
 	 */
-	static FleetView of(FleetSummary others, DataCenterName ownDataCenter, boolean aggregates) {
+	static FleetView of(FleetSummary others, DataCenterName ownDataCenter, boolean aggregator) {
 		Set<DataCenterName> unreachable = new HashSet<>();
 		for (DataCenterPresence part : others.presence()) {
 			if (part.gateways() > 0 && !part.responding() && !part.dataCenter().equals(ownDataCenter)) {
@@ -58,16 +59,17 @@
 			}
 		}
 		return new FleetView(others.gateways(), (others.reachable() + 1.0) / (others.gateways() + 1), unreachable,
-				others.traffic().loads(), others.traffic().work(), others.traffic().rollouts(),
-				others.traffic().rateLimits(), others.leaseHolder() != 0, others.known(), others.readers(), aggregates);
+				others.traffic().loads(), others.traffic().demand(), others.traffic().rollouts(),
+				others.traffic().rateLimits(), others.leaseHolder() != 0, others.sharedState(), others.readers(),
+				aggregator);
 	}
 
 	/**
 	 * Returns whether any other gateway is reachable.
 	 * @return {@code true} if at least one is reachable
 	 */
-	public boolean hearsOthers() {
-		return this.reachableShare * (this.others + 1) > 1;
+	public boolean reachesOthers() {
+		return this.reachableShare * (this.otherGateways + 1) > 1;
 	}
 
 	/**
@@ -80,8 +82,8 @@
 	 * @param own the gateway's incarnation
 	 * @return {@code true} if this gateway does not need to read the store
 	 */
-	public boolean readingIsLeftToOthers(long own) {
-		return this.readers.stream().filter((reader) -> !this.aggregates || reader < own).count() >= REQUIRED_READERS;
+	public boolean delegatesReading(long own) {
+		return this.readers.stream().filter((reader) -> !this.aggregator || reader < own).count() >= REQUIRED_READERS;
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/GatewayReport.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/GatewayReport.java
@@ -10,9 +10,9 @@
  * @param dataCenter its data centre
  * @param traffic its traffic
  * @param holdsLease whether it holds the lease of the fleet-wide duties
- * @param known the version of the shared state that it has applied
+ * @param sharedState the version of the shared state that it has applied
  */
 public record GatewayReport(long incarnation, DataCenterName dataCenter, TrafficTotals traffic, boolean holdsLease,
-		SharedStateVersion known) {
+		SharedStateVersion sharedState) {
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseElector.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/LeaseElector.java
@@ -93,7 +93,7 @@
 	 * @param record the record
 	 * @param now the time at which it was read
 	 */
-	public void read(LeaseRecord record, long now) {
+	public void apply(LeaseRecord record, long now) {
 		LeaseRecord previous = this.newestRecord;
 		if (previous != null && record.fence() < previous.fence()) {
 			return;
@@ -112,7 +112,7 @@
 	 * Records the end of the topic; a lower offset than the known one is ignored.
 	 * @param newEnd the offset after the last record
 	 */
-	public void ends(long newEnd) {
+	public void advanceTopicEnd(long newEnd) {
 		this.topicEnd = Math.max(this.topicEnd, newEnd);
 	}
 
@@ -122,7 +122,7 @@
 	 * lease is held either.
 	 * @param now the current time
 	 */
-	public void stoodStill(long now) {
+	public void onProcessPause(long now) {
 		if (this.fence != 0 || this.pendingRecord != null) {
 			releaseLease(now);
 		}
@@ -141,7 +141,7 @@
 	 * @param now the current time
 	 * @return {@code true} if this gateway holds an unexpired lease
 	 */
-	public boolean holds(long now) {
+	public boolean holdsLease(long now) {
 		return this.fence != 0 && now < this.heldUntil;
 	}
 
@@ -178,7 +178,8 @@
 	 * @param now the current time
 	 * @return the record to append, or {@code null} if none is due
 	 */
-	public @Nullable LeaseRecord toAppend(List<UsageReport> reports, List<Rollout> rollouts, boolean urgent, long now) {
+	public @Nullable LeaseRecord nextRecord(List<UsageReport> reports, List<Rollout> rollouts, boolean urgent,
+			long now) {
 		if (this.pendingRecord != null || this.topicEnd < 0) {
 			return null;
 		}
@@ -212,7 +213,7 @@
 	 * Returns the end offset that the topic must have for the append to succeed.
 	 * @return the offset, or -1 if the topic must be read first
 	 */
-	public long expectedEnd() {
+	public long expectedEndOffset() {
 		return this.topicEnd;
 	}
 
@@ -222,13 +223,13 @@
 	 * @param offset its offset in the topic
 	 * @param now the current time
 	 */
-	public void appended(LeaseRecord record, long offset, long now) {
+	public void appendSucceeded(LeaseRecord record, long offset, long now) {
 		if (!isPending(record)) {
 			return;
 		}
 		this.pendingRecord = null;
-		ends(offset + 1);
-		read(record, now);
+		advanceTopicEnd(offset + 1);
+		apply(record, now);
 		this.heldUntil = this.pendingSince + (long) (this.leaseNanos * HOLDING_FRACTION);
 	}
 
@@ -243,7 +244,7 @@
 	 * no longer pending.
 	 * @param record the record
 	 */
-	public void notAppended(LeaseRecord record) {
+	public void appendFailed(LeaseRecord record) {
 		if (!isPending(record)) {
 			return;
 		}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/PeerTable.java
@@ -73,9 +73,9 @@
 	 * Sets this gateway's own report.
 	 * @param report the report
 	 */
-	public void ownReport(GatewayReport report) {
+	public void setOwnReport(GatewayReport report) {
 		this.own = report;
-		this.usageLedger.addGateway(report.incarnation(), report.traffic().counts());
+		this.usageLedger.addGateway(report.incarnation(), report.traffic().usageCounts());
 	}
 
 	/**
@@ -100,13 +100,13 @@
 	 * @return the quota used at other gateways that is to be charged here, by client
 	 * account
 	 */
-	public Map<AccountName, Double> read(GatewayReport report, long now) {
-		this.usageLedger.addGateway(report.incarnation(), report.traffic().counts());
+	public Map<AccountName, Double> receive(GatewayReport report, long now) {
+		this.usageLedger.addGateway(report.incarnation(), report.traffic().usageCounts());
 		Member previous = this.members.get(report.incarnation());
 		QuotaUsageReconciler reconciler = (previous != null) ? previous.reconciler()
 				: new QuotaUsageReconciler(REACHABLE_TIMEOUT);
 		this.members.put(report.incarnation(), new Member(report, now, reconciler));
-		Map<AccountName, Double> charge = reconciler.update(report.incarnation(), report.traffic().used(), now);
+		Map<AccountName, Double> charge = reconciler.update(report.incarnation(), report.traffic().quotaUsed(), now);
 		charge.forEach((account, amount) -> this.quotaUsedByMembers.merge(account, amount, Double::sum));
 		return this.aggregator ? charge : Map.of();
 	}
@@ -118,24 +118,24 @@
 	 * @return the quota used at other gateways that is to be charged here, by client
 	 * account
 	 */
-	public Map<AccountName, Double> read(FleetSummary summary, long now) {
+	public Map<AccountName, Double> receive(FleetSummary summary, long now) {
 		String group = summary.group();
 		if (group == null) {
-			this.usageLedger.addFleet(summary.traffic().counts());
-			Map<AccountName, Double> charge = this.fleet.read(summary, subtractOwn(summary.traffic().used()), now);
+			this.usageLedger.addFleet(summary.traffic().usageCounts());
+			Map<AccountName, Double> charge = this.fleet.read(summary, subtractOwn(summary.traffic().quotaUsed()), now);
 			return this.aggregator ? Map.of() : charge;
 		}
-		this.usageLedger.addGroup(group, summary.traffic().counts());
+		this.usageLedger.addGroup(group, summary.traffic().usageCounts());
 		Map<AccountName, Double> charge = this.groups
 			.computeIfAbsent(group, (key) -> new AggregatorSummaries(REACHABLE_TIMEOUT))
-			.read(summary, summary.traffic().used(), now);
+			.read(summary, summary.traffic().quotaUsed(), now);
 		charge.forEach((account, amount) -> this.quotaUsedByGroups.merge(account, amount, Double::sum));
 		return this.aggregator ? charge : Map.of();
 	}
 
 	private Map<AccountName, Double> subtractOwn(Map<AccountName, Double> used) {
 		Map<AccountName, Double> others = new HashMap<>(used);
-		this.own.traffic().used().forEach((account, amount) -> others.merge(account, -amount, Double::sum));
+		this.own.traffic().quotaUsed().forEach((account, amount) -> others.merge(account, -amount, Double::sum));
 		return others;
 	}
 
@@ -180,7 +180,7 @@
 	}
 
 	private Map<AccountName, Double> quotaUsed(Map<AccountName, Double> others) {
-		Map<AccountName, Double> sums = new HashMap<>(this.own.traffic().used());
+		Map<AccountName, Double> sums = new HashMap<>(this.own.traffic().quotaUsed());
 		others.forEach((account, amount) -> sums.merge(account, amount, Double::sum));
 		return sums;
 	}
@@ -236,7 +236,7 @@
 	 * @param window the window's number
 	 * @return the number of requests by client account
 	 */
-	public Map<AccountName, Long> counted(long window) {
+	public Map<AccountName, Long> usageCounts(long window) {
 		return this.usageLedger.counts(window);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
@@ -117,7 +117,7 @@
 		Map<DataCenterName, Integer> running = runningReclaimable(listed, dataCenters);
 		Map<DataCenterName, Integer> reclaimable = distribute(
 				Math.max(dataCenters.size() * MINIMUM_RECLAIMABLE_PER_DATA_CENTER, (int) Math.ceil(desired)),
-				dataCenters, limits.most());
+				dataCenters, limits.maximumEndpoints());
 		if (!reclaimableAvailable) {
 			// Endpoints released now could not be replaced when the load increases.
 			running.forEach((dataCenter, count) -> reclaimable.merge(dataCenter, count, Math::max));
@@ -151,8 +151,9 @@
 		for (DataCenterName dataCenter : dataCenters) {
 			int onDemandHere = onDemand.getOrDefault(dataCenter, 0);
 			int desiredHere = (reclaimable != null) ? reclaimable.getOrDefault(dataCenter, 0) : 0;
-			int reclaimableHere = Math.min(desiredHere, limits.most() - onDemandHere);
-			orders.add(new CapacityOrder(dataCenter, false, Math.max(onDemandHere, limits.fewest() - reclaimableHere)));
+			int reclaimableHere = Math.min(desiredHere, limits.maximumEndpoints() - onDemandHere);
+			orders.add(new CapacityOrder(dataCenter, false,
+					Math.max(onDemandHere, limits.minimumEndpoints() - reclaimableHere)));
 			if (reclaimable != null) {
 				orders.add(new CapacityOrder(dataCenter, true, reclaimableHere));
 			}
@@ -169,7 +170,7 @@
 	 */
 	public static int running(Collection<EndpointEntry> listed, DataCenterName dataCenter, boolean reclaimable) {
 		return (int) listed.stream()
-			.filter((entry) -> entry.zone().equals(dataCenter) && entry.reclaimable() == reclaimable
+			.filter((entry) -> entry.dataCenter().equals(dataCenter) && entry.reclaimable() == reclaimable
 					&& !entry.draining())
 			.count();
 	}
@@ -215,12 +216,13 @@
 		for (DataCenterName dataCenter : dataCenters) {
 			int existing = Math.max(running(listed, dataCenter, false),
 					this.onDemandOrdered.getOrDefault(dataCenter, 0));
-			int count = Math.min(remaining, Math.min(existing, limits.most()));
+			int count = Math.min(remaining, Math.min(existing, limits.maximumEndpoints()));
 			placed.put(dataCenter, count);
 			remaining -= count;
 		}
 		for (DataCenterName dataCenter : dataCenters) {
-			int room = limits.most() - running(listed, dataCenter, true) - placed.getOrDefault(dataCenter, 0);
+			int room = limits.maximumEndpoints() - running(listed, dataCenter, true)
+					- placed.getOrDefault(dataCenter, 0);
 			int count = Math.clamp(room, 0, remaining);
 			placed.merge(dataCenter, count, Integer::sum);
 			remaining -= count;
@@ -231,11 +233,11 @@
 	/**
 	 * The desired number of endpoints of a kind in a data centre.
 	 *
-	 * @param zone the data centre
+	 * @param dataCenter the data centre
 	 * @param reclaimable whether the endpoints are reclaimable or on-demand
 	 * @param count the desired number of endpoints
 	 */
-	public record CapacityOrder(DataCenterName zone, boolean reclaimable, int count) {
+	public record CapacityOrder(DataCenterName dataCenter, boolean reclaimable, int count) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/SharedStateVersion.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/SharedStateVersion.java
@@ -6,14 +6,14 @@
  * The version of the shared state that a gateway has applied; lets other gateways detect
  * whether theirs is stale.
  *
- * @param reads whether the gateway reads the store itself and did so recently
- * @param endpointsNext the next offset to read in the endpoints topic
+ * @param readsStore whether the gateway reads the store itself and did so recently
+ * @param endpointsNextOffset the next offset to read in the endpoints topic
  * @param endpointsDigest a digest of all listed endpoints
  * @param endpointsAge the time since the endpoints were last read from the store
  * @param configurationOffset the offset of the applied configuration, -1 for none
  */
-public record SharedStateVersion(boolean reads, long endpointsNext, long endpointsDigest, Duration endpointsAge,
-		long configurationOffset) {
+public record SharedStateVersion(boolean readsStore, long endpointsNextOffset, long endpointsDigest,
+		Duration endpointsAge, long configurationOffset) {
 
 	/** Age of endpoints that were never read. */
 	public static final Duration UNKNOWN_AGE = Duration.ofDays(1);
@@ -27,8 +27,8 @@
 	 * @param other the state of the other gateway
 	 * @return {@code true} if the other offset is not lower and the digests differ
 	 */
-	public boolean missesEndpointsOf(SharedStateVersion other) {
-		return other.endpointsNext >= this.endpointsNext && other.endpointsDigest != this.endpointsDigest;
+	public boolean endpointsStaleComparedTo(SharedStateVersion other) {
+		return other.endpointsNextOffset >= this.endpointsNextOffset && other.endpointsDigest != this.endpointsDigest;
 	}
 
 	/**
@@ -36,8 +36,8 @@
 	 * @param other the state of the other gateway
 	 * @return {@code true} if the other gateway reads the store and the digests are equal
 	 */
-	public boolean confirmedBy(SharedStateVersion other) {
-		return other.reads && other.endpointsDigest == this.endpointsDigest;
+	public boolean endpointsConfirmedBy(SharedStateVersion other) {
+		return other.readsStore && other.endpointsDigest == this.endpointsDigest;
 	}
 
 	/**
@@ -47,7 +47,8 @@
 	 * is lower
 	 */
 	boolean isNewerThan(SharedStateVersion other) {
-		return (this.endpointsNext != other.endpointsNext) ? this.endpointsNext > other.endpointsNext
+		return (this.endpointsNextOffset != other.endpointsNextOffset)
+				? this.endpointsNextOffset > other.endpointsNextOffset
 				: this.endpointsAge.compareTo(other.endpointsAge) < 0;
 	}
 
@@ -57,7 +58,7 @@
 	 * @return the aged state
 	 */
 	SharedStateVersion aged(Duration elapsed) {
-		return new SharedStateVersion(this.reads, this.endpointsNext, this.endpointsDigest,
+		return new SharedStateVersion(this.readsStore, this.endpointsNextOffset, this.endpointsDigest,
 				this.endpointsAge.plus(elapsed), this.configurationOffset);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/TrafficTotals.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/TrafficTotals.java
@@ -11,16 +11,16 @@
 /**
  * The traffic of one gateway, or the aggregated traffic of several.
  *
- * @param counts the number of requests started, by usage window and client account
- * @param used the quota used since the process started, by client account, in the unit of
- * the quota
- * @param work the engine time required by the requests, in ms per second, by service
+ * @param usageCounts the number of requests started, by usage window and client account
+ * @param quotaUsed the quota used since the process started, by client account, in the
+ * unit of the quota
+ * @param demand the engine time required by the requests, in ms per second, by service
  * @param loads the load at each endpoint
  * @param rollouts the samples of the rollouts
  * @param rateLimits the newest rate limits that endpoints reported
  */
-public record TrafficTotals(Map<Long, Map<AccountName, Long>> counts, Map<AccountName, Double> used,
-		Map<ServiceName, Double> work, Map<EndpointId, EndpointLoad> loads, RolloutReport rollouts,
+public record TrafficTotals(Map<Long, Map<AccountName, Long>> usageCounts, Map<AccountName, Double> quotaUsed,
+		Map<ServiceName, Double> demand, Map<EndpointId, EndpointLoad> loads, RolloutReport rollouts,
 		Map<EndpointId, ObservedRateLimit> rateLimits) {
 
 	/** No traffic. */
@@ -31,9 +31,9 @@
 	 * Creates totals.
 	 */
 	public TrafficTotals {
-		counts = Map.copyOf(counts);
-		used = Map.copyOf(used);
-		work = Map.copyOf(work);
+		usageCounts = Map.copyOf(usageCounts);
+		quotaUsed = Map.copyOf(quotaUsed);
+		demand = Map.copyOf(demand);
 		loads = Map.copyOf(loads);
 		rateLimits = Map.copyOf(rateLimits);
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageReportPlanner.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageReportPlanner.java
@@ -46,7 +46,8 @@
 	 * @param reportOfWindow returns the report of a window by its number
 	 * @return the reports, the oldest first
 	 */
-	public List<UsageReport> toName(List<UsageReport> recorded, Instant now, LongFunction<UsageReport> reportOfWindow) {
+	public List<UsageReport> reportsToRecord(List<UsageReport> recorded, Instant now,
+			LongFunction<UsageReport> reportOfWindow) {
 		long lastFinal = this.windows.windowOf(now.minus(SETTLING_DELAY)) - 1;
 		long next = recorded.isEmpty() ? this.firstWindow : recorded.getLast().window() + 1;
 		next = Math.max(next, lastFinal - MAXIMUM_REPORTS + 1);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Endpoint.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Endpoint.java
@@ -186,7 +186,7 @@
 	 * @param prompt the request's prompt
 	 * @param prefillTokens the prompt tokens to prefill
 	 */
-	public void sent(Prompt prompt, int prefillTokens) {
+	public void requestSent(Prompt prompt, int prefillTokens) {
 		this.inFlight++;
 		this.pendingPrefillTokens += prefillTokens;
 		this.cache.add(prompt);
@@ -196,14 +196,14 @@
 	 * Records that a request's prefill completed or was abandoned.
 	 * @param prefillTokens the prompt tokens that were to be prefilled
 	 */
-	public void promptRead(int prefillTokens) {
+	public void prefillCompleted(int prefillTokens) {
 		this.pendingPrefillTokens = Math.max(0, this.pendingPrefillTokens - prefillTokens);
 	}
 
 	/**
 	 * Records that a request is no longer in flight, whatever its outcome.
 	 */
-	public void left() {
+	public void requestCompleted() {
 		this.inFlight--;
 	}
 
@@ -212,7 +212,7 @@
 	 * @param successful whether the answer is a success
 	 * @param now the current time
 	 */
-	public void answered(boolean successful, long now) {
+	public void requestAnswered(boolean successful, long now) {
 		this.consecutiveFailures = 0;
 		this.backoffUntil = Long.MIN_VALUE;
 		recordOutcome(successful ? 0 : 1, now);
@@ -228,7 +228,7 @@
 	 * Records a request without a valid answer: rejected, reset, timed out or malformed.
 	 * @param now the current time
 	 */
-	public void failed(long now) {
+	public void requestFailed(long now) {
 		recordOutcome(1, now);
 		this.consecutiveFailures++;
 		if (this.consecutiveFailures > 1) {
@@ -245,7 +245,7 @@
 	 */
 	public void unreachable(long now) {
 		this.consecutiveFailures = Math.max(this.consecutiveFailures, 1);
-		failed(now);
+		requestFailed(now);
 	}
 
 	/**
@@ -253,7 +253,7 @@
 	 * @param report the report
 	 * @param now the current time
 	 */
-	public void reported(LoadReport report, long now) {
+	public void updateLoad(LoadReport report, long now) {
 		this.unattributedAtReport = Math.max(0,
 				report.running() + report.waiting() - this.inFlight - this.remoteInFlight);
 		this.queuedAtReport = report.waiting();
@@ -274,7 +274,7 @@
 	 * @param tokens the tokens to prefill before the first token, queued ones included
 	 * @param now the current time
 	 */
-	public void firstToken(Duration elapsed, long tokens, long now) {
+	public void recordTimeToFirstToken(Duration elapsed, long tokens, long now) {
 		double sample = Math.clamp(millis(elapsed) / this.prefillLatency.millis(tokens), MINIMUM_SLOWDOWN,
 				MAXIMUM_SLOWDOWN);
 		double previous = slowdown(now);
@@ -300,7 +300,7 @@
 	 * Updates the response time estimate with an answer of a plain service.
 	 * @param elapsed the time from sending the request to its answer
 	 */
-	public void plainAnswer(Duration elapsed) {
+	public void recordResponseTime(Duration elapsed) {
 		this.responseMillis += SAMPLE_WEIGHT * (millis(elapsed) - this.responseMillis);
 	}
 
@@ -308,7 +308,7 @@
 	 * Returns the prompt tokens of this gateway's requests that wait for prefill.
 	 * @return the number of tokens
 	 */
-	public long waitingTokens() {
+	public long pendingPrefillTokens() {
 		return this.pendingPrefillTokens;
 	}
 
@@ -316,7 +316,7 @@
 	 * Returns the prompt tokens of all gateways' requests that wait for prefill.
 	 * @return the number of tokens
 	 */
-	public long queuedTokens() {
+	public long totalPendingPrefillTokens() {
 		return this.pendingPrefillTokens + this.remotePendingPrefillTokens;
 	}
 
@@ -325,7 +325,7 @@
 	 * @param requests their requests in flight
 	 * @param pendingTokens their prompt tokens that wait for prefill
 	 */
-	public void others(int requests, long pendingTokens) {
+	public void updateRemoteLoad(int requests, long pendingTokens) {
 		this.remoteInFlight = requests;
 		this.remotePendingPrefillTokens = pendingTokens;
 	}
@@ -335,7 +335,7 @@
 	 * @param prefillTokens the prompt tokens to prefill
 	 * @return the time in ms
 	 */
-	public double workMillis(int prefillTokens) {
+	public double serviceTimeMillis(int prefillTokens) {
 		return (this.memory != null) ? prefillMillis(prefillTokens) : this.responseMillis;
 	}
 
@@ -348,7 +348,7 @@
 	}
 
 	int uncachedTokens(Prompt prompt) {
-		return Math.max(0, prompt.tokensIn() - this.cache.cachedTokens(prompt));
+		return Math.max(0, prompt.inputTokens() - this.cache.cachedTokens(prompt));
 	}
 
 	/**
@@ -384,7 +384,7 @@
 			return this.responseMillis * occupancy;
 		}
 		double reportedTokens = this.queuedAtReport * reportWeight * meanPromptTokens(prompt);
-		double queuedAhead = Math.max((double) queuedTokens(), reportedTokens);
+		double queuedAhead = Math.max((double) totalPendingPrefillTokens(), reportedTokens);
 		double waitingForSlot = Math.max(0, running + 1 - this.entry.slots()) * meanPromptTokens(prompt);
 		long tokens = Math.round(queuedAhead + waitingForSlot) + prefillTokens;
 		return slowdown(now) * this.prefillLatency.millis(tokens) + MILLIS_PER_RUNNING_REQUEST * running;
@@ -392,7 +392,7 @@
 
 	// The lengths of queued prompts are unknown; they are assumed to equal this one's.
 	private static double meanPromptTokens(Prompt prompt) {
-		return prompt.tokensIn();
+		return prompt.inputTokens();
 	}
 
 	private static double millis(Duration duration) {
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointEntry.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointEntry.java
@@ -13,14 +13,14 @@
  * @param service the service that it runs
  * @param version its software version; empty if unknown
  * @param address the address that it listens on
- * @param zone its data centre
+ * @param dataCenter its data centre
  * @param slots the number of requests that it runs concurrently
  * @param draining whether it accepts no new requests because it is shutting down
  * @param reclaimable whether its VM is reclaimable
  * @param startedAt its start time, in Unix milliseconds; 0 if unknown
  */
 public record EndpointEntry(EndpointId id, ServiceName service, String version, InetSocketAddress address,
-		DataCenterName zone, int slots, boolean draining, boolean reclaimable, long startedAt) {
+		DataCenterName dataCenter, int slots, boolean draining, boolean reclaimable, long startedAt) {
 
 	/**
 	 * Creates the entry.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
@@ -127,7 +127,7 @@
 	 * @param now the current time
 	 * @return the identifiers of the removed endpoints
 	 */
-	public List<EndpointId> expire(long now) {
+	public List<EndpointId> removeExpired(long now) {
 		List<EndpointId> expired = new ArrayList<>();
 		for (Endpoint endpoint : this.endpoints.values()) {
 			Long unlistedAt = endpoint.unlistedAt();
@@ -144,7 +144,7 @@
 	 * @param service the service
 	 * @return its endpoints, draining ones included
 	 */
-	public List<Endpoint> listed(ServiceName service) {
+	public List<Endpoint> endpointsOf(ServiceName service) {
 		return this.byService.computeIfAbsent(service, this::findByService);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PlacementRule.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/PlacementRule.java
@@ -71,7 +71,7 @@
 	 * Sets the data centres that may be unreachable from this gateway.
 	 * @param dataCenters the data centres
 	 */
-	public void unreachable(Set<DataCenterName> dataCenters) {
+	public void setUnreachableDataCenters(Set<DataCenterName> dataCenters) {
 		this.unreachableDataCenters = Set.copyOf(dataCenters);
 	}
 
@@ -115,7 +115,7 @@
 	 * @return the time, or {@code null} if an endpoint permits a request now or none is
 	 * available
 	 */
-	public @Nullable Duration rateLimitedFor(Collection<Endpoint> endpoints, Set<EndpointId> tried, long now) {
+	public @Nullable Duration rateLimitRetryAfter(Collection<Endpoint> endpoints, Set<EndpointId> tried, long now) {
 		Duration shortest = null;
 		for (Endpoint candidate : endpoints) {
 			if (!available(candidate, tried, now)) {
@@ -146,10 +146,10 @@
 		if (candidate != owner) {
 			cost += missingTokens * PREFIX_MISS_PENALTY_MILLIS;
 		}
-		if (!candidate.entry().zone().equals(this.dataCenter)) {
+		if (!candidate.entry().dataCenter().equals(this.dataCenter)) {
 			cost += CROSS_DATA_CENTER_PENALTY_MILLIS;
 		}
-		if (this.unreachableDataCenters.contains(candidate.entry().zone())) {
+		if (this.unreachableDataCenters.contains(candidate.entry().dataCenter())) {
 			cost += UNREACHABLE_DATA_CENTER_PENALTY_MILLIS;
 		}
 		return new Candidate(new Placement(candidate, predicted, prefillTokens, copiesPrefix ? source : null), cost);
@@ -161,7 +161,7 @@
 
 	private boolean isEligibleSource(Endpoint endpoint, long now) {
 		return !endpoint.backedOff(now) && endpoint.failureRate(now) < MAXIMUM_SOURCE_FAILURE_RATE
-				&& !this.unreachableDataCenters.contains(endpoint.entry().zone());
+				&& !this.unreachableDataCenters.contains(endpoint.entry().dataCenter());
 	}
 
 	// All gateways compute the same weights and therefore the same ranking.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Prompt.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/Prompt.java
@@ -6,10 +6,10 @@
  * The parts and token counts of a request's prompt, as stated in its headers.
  *
  * @param parts the parts in order; the last one is not shared with other requests
- * @param tokensIn the number of prompt tokens
- * @param mostTokensOut the maximum number of output tokens
+ * @param inputTokens the number of prompt tokens
+ * @param maximumOutputTokens the maximum number of output tokens
  */
-public record Prompt(List<PromptPart> parts, int tokensIn, int mostTokensOut) {
+public record Prompt(List<PromptPart> parts, int inputTokens, int maximumOutputTokens) {
 
 	/** The prompt of a request whose headers do not describe one. */
 	public static final Prompt NONE = new Prompt(List.of(), 0, 0);
@@ -27,7 +27,7 @@
 	 * @return the number of tokens, 0 if the request states none
 	 */
 	public long totalTokens() {
-		return (long) this.tokensIn + this.mostTokensOut;
+		return (long) this.inputTokens + this.maximumOutputTokens;
 	}
 
 	/**
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
@@ -56,9 +56,9 @@
 		this.predictedMillis = placement.predictedMillis();
 		this.number = number;
 		this.sentAt = sentAt;
-		this.tokensAhead = this.endpoint.queuedTokens();
+		this.tokensAhead = this.endpoint.totalPendingPrefillTokens();
 		this.prefillTokens = placement.prefillTokens();
-		this.endpoint.sent(exchange.prompt(), this.prefillTokens);
+		this.endpoint.requestSent(exchange.prompt(), this.prefillTokens);
 		this.endpoint.rateLimiter().sent(sentAt);
 	}
 
@@ -111,7 +111,8 @@
 		if (!this.prefillCompleted) {
 			completePrefill();
 			this.timeToFirstEvent = elapsed();
-			this.endpoint.firstToken(this.timeToFirstEvent, this.tokensAhead + this.prefillTokens, this.exchange.now());
+			this.endpoint.recordTimeToFirstToken(this.timeToFirstEvent, this.tokensAhead + this.prefillTokens,
+					this.exchange.now());
 		}
 	}
 
@@ -132,7 +133,7 @@
 	private void completePrefill() {
 		if (!this.prefillCompleted) {
 			this.prefillCompleted = true;
-			this.endpoint.promptRead(this.prefillTokens);
+			this.endpoint.prefillCompleted(this.prefillTokens);
 		}
 	}
 
@@ -140,7 +141,7 @@
 		if (!this.finished) {
 			this.finished = true;
 			completePrefill();
-			this.endpoint.left();
+			this.endpoint.requestCompleted();
 		}
 	}
 
@@ -158,7 +159,7 @@
 		this.head = response;
 		this.responseHeaders = headers;
 		if (headers.load() != null) {
-			this.endpoint.reported(headers.load(), this.exchange.now());
+			this.endpoint.updateLoad(headers.load(), this.exchange.now());
 		}
 		// A response that the endpoint did not produce itself is no evidence that a limit
 		// has been lifted.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/DrainPhase.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/DrainPhase.java
@@ -9,7 +9,7 @@
 	ALL,
 
 	/** Non-streaming requests only: a stream could outlast the process. */
-	SHORT_ONES,
+	NON_STREAMING,
 
 	/** No requests: one accepted now could be interrupted by the end of the process. */
 	NONE
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
@@ -122,7 +122,7 @@
 			timeout = requestHeaders.deadline();
 		}
 		this.deadlineAt = request.arrivedAt() + timeout.toNanos();
-		this.eventSplitter = new SseEventSplitter(requestHeaders.lastEvent());
+		this.eventSplitter = new SseEventSplitter(requestHeaders.lastEventId());
 		this.versionDraw = dispatcher.nextRandom();
 	}
 
@@ -143,7 +143,7 @@
 		Placement placement = this.dispatcher.placement().choose(eligible(), prompt(), this.triedEndpoints, now());
 		if (placement == null) {
 			Duration rateLimitDelay = (this.attempts == 0)
-					? this.dispatcher.placement().rateLimitedFor(eligible(), this.triedEndpoints, now()) : null;
+					? this.dispatcher.placement().rateLimitRetryAfter(eligible(), this.triedEndpoints, now()) : null;
 			if (rateLimitDelay != null) {
 				reject(ErrorKind.OVERLOADED, this.dispatcher.admission().retryAfter(rateLimitDelay));
 			}
@@ -154,8 +154,8 @@
 		}
 		if (this.attempts == 0) {
 			this.dispatcher.meters()
-				.work()
-				.add(this.service.name(), placement.endpoint().workMillis(placement.prefillTokens()), now());
+				.demand()
+				.add(this.service.name(), placement.endpoint().serviceTimeMillis(placement.prefillTokens()), now());
 			Duration retryAfter = this.dispatcher.admission()
 				.retryAfter(this.route, Duration.ofNanos((long) (placement.predictedMillis() * 1e6)), elapsed(),
 						remaining());
@@ -172,7 +172,7 @@
 		boolean boundToEndpoint = this.route.kind() == RouteKind.STREAMING && !this.route.resumable();
 		return (this.attempts == 0)
 				? this.dispatcher.endpoints().forRequest(this.service.name(), boundToEndpoint, this.versionDraw, now())
-				: this.dispatcher.endpoints().serving(this.service.name(), now());
+				: this.dispatcher.endpoints().stableEndpoints(this.service.name(), now());
 	}
 
 	private void waitForEndpoint() {
@@ -191,7 +191,7 @@
 		this.triedEndpoints.add(placement.endpoint().id());
 		Attempt newAttempt = new Attempt(this, placement, this.attempts, now());
 		this.currentAttempt = newAttempt;
-		rollouts().sent(this.service.name(), this.route.name(), version(newAttempt));
+		rollouts().recordSent(this.service.name(), this.route.name(), version(newAttempt));
 		boolean nonRepeatable = !this.route.repeatable();
 		CallOptions options = new CallOptions(this.dispatcher.admission().connectTimeout(this.route),
 				nonRepeatable ? MAXIMUM_IDLE_TIME_NON_REPEATABLE : MAXIMUM_IDLE_TIME,
@@ -207,7 +207,7 @@
 				this.request.head().uri(), body);
 		HttpHeaders headers = copy.headers();
 		EndToEndHeaders.copy(this.request.head().headers(), headers);
-		headers.names().stream().filter((name) -> !headerCodec().passesOn(name)).toList().forEach(headers::remove);
+		headers.names().stream().filter((name) -> !headerCodec().isForwarded(name)).toList().forEach(headers::remove);
 		if (body.isReadable() || this.request.head().headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
 			headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
 		}
@@ -280,8 +280,9 @@
 				failed(attempt, CallFailure.BROKEN_ANSWER);
 				return;
 			}
-			attempt.endpoint().answered(true, now());
-			rollouts().answered(this.service.name(), this.route.name(), version(attempt), attempt.responseTimes());
+			attempt.endpoint().requestAnswered(true, now());
+			rollouts().recordAnswered(this.service.name(), this.route.name(), version(attempt),
+					attempt.responseTimes());
 			startStream(attempt);
 			this.caller.endStream();
 			end("answered", attempt.responseHead().status().code());
@@ -300,15 +301,16 @@
 		recordUsage();
 		boolean success = status.code() >= 200 && status.code() < 300;
 		boolean valid = success ? attempt.responseHeaders().sealed() : status.code() < 500;
-		attempt.endpoint().answered(valid, now());
+		attempt.endpoint().requestAnswered(valid, now());
 		if (valid && success) {
-			attempt.endpoint().plainAnswer(attempt.elapsed());
+			attempt.endpoint().recordResponseTime(attempt.elapsed());
 		}
 		if (valid) {
-			rollouts().answered(this.service.name(), this.route.name(), version(attempt), attempt.responseTimes());
+			rollouts().recordAnswered(this.service.name(), this.route.name(), version(attempt),
+					attempt.responseTimes());
 		}
 		else {
-			rollouts().failed(this.service.name(), this.route.name(), version(attempt));
+			rollouts().recordFailed(this.service.name(), this.route.name(), version(attempt));
 		}
 		if (valid) {
 			forwardResponse(attempt);
@@ -383,8 +385,8 @@
 		if (this.route.kind() != RouteKind.STREAMING) {
 			recordUsage();
 		}
-		attempt.endpoint().failed(now());
-		rollouts().failed(this.service.name(), this.route.name(), version(attempt));
+		attempt.endpoint().requestFailed(now());
+		rollouts().recordFailed(this.service.name(), this.route.name(), version(attempt));
 		this.eventSplitter.discardPartialEvent();
 		if (retryIfAllowed()) {
 			return;
@@ -451,8 +453,8 @@
 				&& current.elapsed().compareTo(this.dispatcher.admission().responseTimeout(this.route)) > 0) {
 			this.dispatcher.requestLog()
 				.attemptFailed(current.describe(), "no response before the request was cancelled");
-			current.endpoint().failed(now());
-			rollouts().failed(this.service.name(), this.route.name(), version(current));
+			current.endpoint().requestFailed(now());
+			rollouts().recordFailed(this.service.name(), this.route.name(), version(current));
 		}
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestDispatcher.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestDispatcher.java
@@ -103,7 +103,7 @@
 	 * @param endpoints the endpoints
 	 * @param endpointsCurrent whether the endpoints are up to date
 	 * @param placement selects an endpoint
-	 * @param meters count the requests that ran and estimate their work
+	 * @param meters count the requests that ran and estimate their demand
 	 * @param requestLog receives the outcomes of requests
 	 * @param retryLimits the retry limits of the fleet
 	 */
@@ -139,7 +139,7 @@
 				this.acceptedByRemovedLimiters.merge(name, limiter.used(), Double::sum);
 			}
 			else if (!limiter.quota().equals(quota)) {
-				this.quotaLimiters.put(name, limiter.changedTo(quota, this.clock.nanos()));
+				this.quotaLimiters.put(name, limiter.withQuota(quota, this.clock.nanos()));
 			}
 		}
 		newConfiguration.accounts().forEach((account) -> limiter(account.name()));
@@ -161,10 +161,10 @@
 	 * @param newGatewayCount the number of gateways, including this one
 	 * @param newReachableShare the fraction of them that is reachable, from 0 to 1
 	 */
-	public void fleet(int newGatewayCount, double newReachableShare) {
+	public void updateFleet(int newGatewayCount, double newReachableShare) {
 		this.gatewayCount = newGatewayCount;
 		this.reachableShare = newReachableShare;
-		this.quotaLimiters.values().forEach((limiter) -> limiter.reachable(newReachableShare));
+		this.quotaLimiters.values().forEach((limiter) -> limiter.setReachableShare(newReachableShare));
 		this.retryBudgets.values().forEach((retryBudget) -> retryBudget.changeMostSaved(maximumSavedRetries()));
 	}
 
@@ -172,11 +172,11 @@
 	 * Adds the quota usage of another gateway.
 	 * @param used the usage since its last report, by client account
 	 */
-	public void remoteUsage(Map<AccountName, Double> used) {
+	public void addRemoteUsage(Map<AccountName, Double> used) {
 		used.forEach((name, amount) -> {
 			QuotaLimiter limiter = limiter(name);
 			if (limiter != null) {
-				limiter.remoteUsage(amount, this.clock.nanos());
+				limiter.deductRemoteUsage(amount, this.clock.nanos());
 			}
 		});
 	}
@@ -185,7 +185,7 @@
 	 * Returns the quota usage accepted by this gateway since its start.
 	 * @return the totals by client account
 	 */
-	public Map<AccountName, Double> used() {
+	public Map<AccountName, Double> quotaUsage() {
 		Map<AccountName, Double> sums = new HashMap<>(this.acceptedByRemovedLimiters);
 		this.quotaLimiters.forEach((name, limiter) -> sums.merge(name, limiter.used(), Double::sum));
 		return sums;
@@ -201,7 +201,7 @@
 			return null;
 		}
 		QuotaLimiter created = new QuotaLimiter(quota, this.clock.nanos());
-		created.reachable(this.reachableShare);
+		created.setReachableShare(this.reachableShare);
 		this.quotaLimiters.put(name, created);
 		return created;
 	}
@@ -210,7 +210,7 @@
 	 * Sets the drain phase.
 	 * @param newDrainPhase the phase
 	 */
-	public void drain(DrainPhase newDrainPhase) {
+	public void setDrainPhase(DrainPhase newDrainPhase) {
 		this.drainPhase = newDrainPhase;
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestLog.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestLog.java
@@ -74,13 +74,13 @@
 	 * @param status the status sent to the caller; 0 if the connection was closed
 	 * @param endpoint the last endpoint, or {@code null} if the request was not sent
 	 * @param attempts the number of attempts
-	 * @param untilFirst the time from arrival to the first byte of the response, or
+	 * @param timeToFirstByte the time from arrival to the first byte of the response, or
 	 * {@code null}
 	 * @param elapsed the time since arrival
 	 * @param version the configuration version under which the request was accepted
 	 */
 	record EndedRequest(String requestId, String route, String outcome, int status, @Nullable String endpoint,
-			int attempts, @Nullable Duration untilFirst, Duration elapsed, long version) {
+			int attempts, @Nullable Duration timeToFirstByte, Duration elapsed, long version) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestRouter.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestRouter.java
@@ -44,7 +44,7 @@
 		}
 		ClientAccount account = null;
 		if (!route.anonymous() && !current.accounts().isEmpty()) {
-			account = (requestHeaders.key() != null) ? current.accountOf(requestHeaders.key()) : null;
+			account = (requestHeaders.key() != null) ? current.accountForKey(requestHeaders.key()) : null;
 			if (account == null) {
 				return new RoutingDecision.Rejected(ErrorKind.ACCOUNT_UNKNOWN, null);
 			}
@@ -62,7 +62,7 @@
 	private boolean accepts(Route route) {
 		return switch (this.phase) {
 			case ALL -> true;
-			case SHORT_ONES -> route.kind() != RouteKind.STREAMING;
+			case NON_STREAMING -> route.kind() != RouteKind.STREAMING;
 			case NONE -> false;
 		};
 	}
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/Rollout.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/Rollout.java
@@ -20,7 +20,7 @@
 	 * @param newStage the decided stage
 	 * @return the updated state
 	 */
-	public Rollout with(long newRevision, RolloutStage newStage) {
+	public Rollout withDecision(long newRevision, RolloutStage newStage) {
 		return new Rollout(this.order, this.baseline, this.orderedAt, newRevision, newStage);
 	}
 
@@ -34,8 +34,8 @@
 		if (this.order.offset() != other.order.offset()) {
 			return this.order.offset() > other.order.offset();
 		}
-		if (this.stage.settled() != other.stage.settled()) {
-			return this.stage.settled();
+		if (this.stage.isTerminal() != other.stage.isTerminal()) {
+			return this.stage.isTerminal();
 		}
 		return this.revision > other.revision;
 	}
@@ -54,8 +54,8 @@
 	 * weights.
 	 * @return the state without weights
 	 */
-	public Rollout durable() {
-		return this.stage.settled() ? this : with(0, RolloutStage.InProgress.NO_TRAFFIC);
+	public Rollout withoutWeights() {
+		return this.stage.isTerminal() ? this : withDecision(0, RolloutStage.InProgress.NO_TRAFFIC);
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutStage.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutStage.java
@@ -9,7 +9,7 @@
 	 * Returns whether this stage is terminal.
 	 * @return {@code true} if the rollout has ended
 	 */
-	default boolean settled() {
+	default boolean isTerminal() {
 		return !(this instanceof InProgress);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/RolloutTable.java
@@ -41,7 +41,7 @@
 	 * @param order the order
 	 * @return {@code true} if the order is new
 	 */
-	public boolean ordered(RolloutOrder order) {
+	public boolean addOrder(RolloutOrder order) {
 		RolloutOrder newest = this.orders.get(order.service());
 		if (newest != null && newest.offset() >= order.offset()) {
 			return false;
@@ -63,14 +63,14 @@
 	 * @param reported the decisions
 	 * @param now the current time
 	 */
-	public void decided(Collection<Rollout> reported, long now) {
+	public void applyDecisions(Collection<Rollout> reported, long now) {
 		for (Rollout rollout : reported) {
 			ServiceName service = rollout.order().service();
-			ordered(rollout.order());
+			addOrder(rollout.order());
 			TimedDecision newest = this.decisions.get(service);
 			if (newest == null || rollout.isNewerThan(newest.rollout())) {
 				this.decisions.put(service, new TimedDecision(rollout, now));
-				if (rollout.stage().settled()) {
+				if (rollout.stage().isTerminal()) {
 					endRollout(rollout);
 				}
 			}
@@ -110,7 +110,7 @@
 	 */
 	public boolean inProgress(ServiceName service) {
 		Rollout newest = decision(service);
-		return this.orders.containsKey(service) && (newest == null || !newest.stage().settled());
+		return this.orders.containsKey(service) && (newest == null || !newest.stage().isTerminal());
 	}
 
 	/**
@@ -167,7 +167,7 @@
 	 * @param route its route
 	 * @param version the version of its endpoint
 	 */
-	public void sent(ServiceName service, String route, String version) {
+	public void recordSent(ServiceName service, String route, String version) {
 		count(service, route, version, new VersionSamples(1, 0, 0));
 	}
 
@@ -177,7 +177,7 @@
 	 * @param route its route
 	 * @param version the version of its endpoint
 	 */
-	public void failed(ServiceName service, String route, String version) {
+	public void recordFailed(ServiceName service, String route, String version) {
 		count(service, route, version, new VersionSamples(0, 1, 1));
 	}
 
@@ -188,7 +188,7 @@
 	 * @param version the version of its endpoint
 	 * @param times the measured times of its answer
 	 */
-	public void answered(ServiceName service, String route, String version, AnswerTimes times) {
+	public void recordAnswered(ServiceName service, String route, String version, AnswerTimes times) {
 		RolloutOrder order = this.orders.get(service);
 		if (order == null || !inProgress(service)) {
 			return;
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/ServingEndpoints.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/rollout/ServingEndpoints.java
@@ -43,7 +43,7 @@
 	 */
 	public List<Endpoint> forRequest(ServiceName service, boolean nonResumable, double randomValue, long now) {
 		VersionChoice choice = this.rollouts.choose(service, nonResumable, randomValue, now);
-		return this.filter.eligible(service, this.endpoints.listed(service), choice);
+		return this.filter.eligible(service, this.endpoints.endpointsOf(service), choice);
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 * @param now the current time
 	 * @return the endpoints
 	 */
-	public List<Endpoint> serving(ServiceName service, long now) {
+	public List<Endpoint> stableEndpoints(ServiceName service, long now) {
 		return forRequest(service, false, EXCLUDE_CANDIDATE, now);
 	}
 
@@ -71,7 +71,7 @@
 	 * @param service the service
 	 * @return {@code true} if its endpoints are being replaced
 	 */
-	public boolean changing(ServiceName service) {
+	public boolean rolloutInProgress(ServiceName service) {
 		return this.rollouts.inProgress(service);
 	}
 
@@ -79,8 +79,8 @@
 	 * Records the listed versions of services.
 	 * @param services the services
 	 */
-	public void noteVersions(Collection<ServiceName> services) {
-		services.forEach((service) -> this.filter.recordVersions(service, this.endpoints.listed(service)));
+	public void recordVersions(Collection<ServiceName> services) {
+		services.forEach((service) -> this.filter.recordVersions(service, this.endpoints.endpointsOf(service)));
 	}
 
 	/**
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/CallerHeaders.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/CallerHeaders.java
@@ -12,11 +12,11 @@
  * @param deadline the remaining time that the caller waits, or {@code null} if it is not
  * stated
  * @param key the key of the client account, or {@code null}
- * @param lastEvent the id of the event after which to resume a stream, or {@code null}
+ * @param lastEventId the id of the event after which to resume a stream, or {@code null}
  * @param prompt the prompt
  */
 public record CallerHeaders(@Nullable String requestId, @Nullable Duration deadline, @Nullable String key,
-		@Nullable String lastEvent, Prompt prompt) {
+		@Nullable String lastEventId, Prompt prompt) {
 
 	/**
 	 * Creates the metadata.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/EndpointCall.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/EndpointCall.java
@@ -14,22 +14,22 @@
  * @param remaining the remaining time that the caller waits, or {@code null} if it is not
  * stated
  * @param account the client account, or {@code null} for an anonymous request
- * @param urgency the request priority, from 0 (highest) to 9 (lowest), or {@code null} if
- * the service does not prioritize requests
- * @param lastEvent the id of the event after which to resume a stream, or {@code null}
+ * @param priority the request priority, from 0 (highest) to 9 (lowest), or {@code null}
+ * if the service does not prioritize requests
+ * @param lastEventId the id of the event after which to resume a stream, or {@code null}
  * @param prefixSource the address from which the endpoint can copy the cached prefixes of
  * the prompt, or {@code null}
  */
 public record EndpointCall(EndpointId endpoint, @Nullable Duration remaining, @Nullable AccountName account,
-		@Nullable Integer urgency, @Nullable String lastEvent, @Nullable InetSocketAddress prefixSource) {
+		@Nullable Integer priority, @Nullable String lastEventId, @Nullable InetSocketAddress prefixSource) {
 
 	/**
 	 * Creates the metadata.
-	 * @throws IllegalArgumentException if {@code urgency} is not from 0 to 9
+	 * @throws IllegalArgumentException if {@code priority} is not from 0 to 9
 	 */
 	public EndpointCall {
-		if (urgency != null && (urgency < 0 || urgency > 9)) {
-			throw new IllegalArgumentException("urgency must be from 0 to 9: " + urgency);
+		if (priority != null && (priority < 0 || priority > 9)) {
+			throw new IllegalArgumentException("priority must be from 0 to 9: " + priority);
 		}
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/HeaderCodec.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/HeaderCodec.java
@@ -19,7 +19,7 @@
 	 * @param name the header name
 	 * @return {@code false} for headers that only the gateway may set
 	 */
-	boolean passesOn(String name);
+	boolean isForwarded(String name);
 
 	/**
 	 * Adds the metadata of a request to an endpoint.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicPage.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicPage.java
@@ -8,13 +8,13 @@
  * A page of records of a topic.
  *
  * @param records the records
- * @param next the offset from which to read further changes
- * @param more the key after which to read the next page, or {@code null} if this is the
- * last page
+ * @param nextOffset the offset from which to read further changes
+ * @param nextKey the key after which to read the next page, or {@code null} if this is
+ * the last page
  * @param historyLost whether changes were dropped, so that the latest record of each key
  * must be read again
  */
-public record TopicPage(List<TopicRecord> records, long next, @Nullable String more, boolean historyLost) {
+public record TopicPage(List<TopicRecord> records, long nextOffset, @Nullable String nextKey, boolean historyLost) {
 
 	/**
 	 * Creates the page.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicStore.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicStore.java
@@ -19,7 +19,7 @@
 	 * @param afterKey the key after which to continue, or {@code null} for the first page
 	 * @return a page of records
 	 */
-	CompletableFuture<TopicPage> newest(Topic topic, @Nullable String afterKey);
+	CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String afterKey);
 
 	/**
 	 * Reads the records appended from an offset on.
@@ -28,7 +28,7 @@
 	 * @param maximumWait how long the store may wait for new records (long polling)
 	 * @return a page of records; empty if there are no new ones
 	 */
-	CompletableFuture<TopicPage> changes(Topic topic, long fromOffset, Duration maximumWait);
+	CompletableFuture<TopicPage> readChanges(Topic topic, long fromOffset, Duration maximumWait);
 
 	/**
 	 * Appends a record.
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/QuotaLimiterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/admission/QuotaLimiterTests.java
@@ -42,10 +42,10 @@
 	void aChangedQuotaKeepsTheLevel() {
 		QuotaLimiter limiter = new QuotaLimiter(QUOTA, 0);
 		TokenQuota lower = new TokenQuota(true, 30_000, 30_000, 200);
-		QuotaLimiter lowered = limiter.changedTo(lower, SECOND);
+		QuotaLimiter lowered = limiter.withQuota(lower, SECOND);
 		assertThat(lowered.available()).isEqualTo(30_000);
 		lowered.tryAcquire(50_000, SECOND);
-		QuotaLimiter raised = lowered.changedTo(QUOTA, SECOND);
+		QuotaLimiter raised = lowered.withQuota(QUOTA, SECOND);
 		assertThat(raised.available()).isEqualTo(-20_000);
 		assertThat(raised.used()).isEqualTo(50_000);
 	}
@@ -97,7 +97,7 @@
 
 		private void partition() {
 			this.partitioned = true;
-			this.limiters.forEach((limiter) -> limiter.reachable(0.5));
+			this.limiters.forEach((limiter) -> limiter.setReachableShare(0.5));
 		}
 
 		private boolean canReach(int one, int other) {
@@ -138,7 +138,7 @@
 				this.reported[from] += unreported;
 				for (int to = 0; to < this.limiters.size(); to++) {
 					if (to != from && canReach(from, to)) {
-						this.limiters.get(to).remoteUsage(unreported, now);
+						this.limiters.get(to).deductRemoteUsage(unreported, now);
 					}
 				}
 			}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/AddressAnnouncementTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/AddressAnnouncementTests.java
@@ -91,12 +91,12 @@
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
+		public CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String after) {
 			throw new UnsupportedOperationException("newest");
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
+		public CompletableFuture<TopicPage> readChanges(Topic topic, long from, Duration wait) {
 			throw new UnsupportedOperationException("changes");
 		}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
@@ -150,7 +150,7 @@
 	}
 
 	private List<Node> aggregators() {
-		return this.fleet.stream().filter((node) -> node.view.aggregates()).toList();
+		return this.fleet.stream().filter((node) -> node.view.aggregator()).toList();
 	}
 
 	// Returns how long the given gateways may have sent requests to the draining
@@ -313,7 +313,7 @@
 					}, (records) -> this.sharedState().applyRelayed(records));
 			this.sharedState = new SharedStateFollower(this, this.channel.eventLoop(),
 					() -> DrainingPropagationTests.this.now, new StateRecordCodec(), this.endpoints,
-					this.delegation::delegatesSharedState, () -> Duration.ofMillis(this.view.aggregates() ? 250 : 2000),
+					this.delegation::delegatesSharedState, () -> Duration.ofMillis(this.view.aggregator() ? 250 : 2000),
 					this.exchange::relay, this.exchange::forward, (configuration) -> {
 					}, (order) -> false, DRAIN_TIME);
 			this.reportAt = Duration.ofMillis(DrainingPropagationTests.this.random.nextInt(400)).toNanos();
@@ -356,7 +356,7 @@
 				this.table.expire(time);
 				this.view = this.table.view(time);
 				this.delegation.update(this.view);
-				this.sharedState.reconcile(this.view.known(), time);
+				this.sharedState.reconcile(this.view.sharedState(), time);
 			}
 		}
 
@@ -380,12 +380,12 @@
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
+		public CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String after) {
 			return answer(topic, DrainingPropagationTests.this.store.newest());
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
+		public CompletableFuture<TopicPage> readChanges(Topic topic, long from, Duration wait) {
 			return answer(topic,
 					(topic == Topic.ENDPOINTS) ? DrainingPropagationTests.this.store.changes(from) : configuration());
 		}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointRateLimitTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/EndpointRateLimitTests.java
@@ -221,11 +221,11 @@
 
 		void request() {
 			long time = EndpointRateLimitTests.this.now;
-			Placement placed = this.placement.choose(this.endpoints.listed(SERVICE), Prompt.NONE, Set.of(), time);
+			Placement placed = this.placement.choose(this.endpoints.endpointsOf(SERVICE), Prompt.NONE, Set.of(), time);
 			if (placed == null) {
 				return;
 			}
-			placed.endpoint().sent(Prompt.NONE, 0);
+			placed.endpoint().requestSent(Prompt.NONE, 0);
 			placed.endpoint().rateLimiter().sent(time);
 			this.running.add(new Running(placed.endpoint(), time + RESPONSE_TIME.toNanos()));
 			if (placed.endpoint().id().equals(LIMITED)) {
@@ -237,8 +237,8 @@
 			long time = EndpointRateLimitTests.this.now;
 			while (!this.running.isEmpty() && this.running.getFirst().until() <= time) {
 				Endpoint endpoint = this.running.removeFirst().endpoint();
-				endpoint.left();
-				endpoint.answered(true, time);
+				endpoint.requestCompleted();
+				endpoint.requestAnswered(true, time);
 				boolean limited = endpoint.id().equals(LIMITED);
 				endpoint.rateLimiter().observe(limited ? EndpointRateLimitTests.this.limit : null, time, time);
 			}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/FleetExchangeTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/FleetExchangeTests.java
@@ -63,12 +63,12 @@
 		this.fleet.forEach(Peer::resetCounters);
 		runFor(Duration.ofSeconds(4));
 		for (Peer peer : this.fleet) {
-			if (!peer.view().aggregates()) {
+			if (!peer.view().aggregator()) {
 				assertThat(peer.sent).as("sent by " + peer.name).isLessThanOrEqualTo(2 * 17);
 				assertThat(peer.received).as("received by " + peer.name).isLessThanOrEqualTo(2 * 17);
 			}
 		}
-		assertThat(this.fleet.stream().filter((peer) -> peer.view().aggregates())).hasSize(10);
+		assertThat(this.fleet.stream().filter((peer) -> peer.view().aggregator())).hasSize(10);
 	}
 
 	// Guards against gateways that know only a part of the fleet.
@@ -79,7 +79,7 @@
 		start(gateways, 3);
 		runFor(Duration.ofSeconds(6));
 		for (Peer peer : this.fleet) {
-			assertThat(peer.view().others()).as("others of " + peer.name).isEqualTo(gateways - 1);
+			assertThat(peer.view().otherGateways()).as("others of " + peer.name).isEqualTo(gateways - 1);
 			assertThat(peer.view().reachableShare()).isGreaterThan(0.9);
 			assertThat(peer.view().unreachableDataCenters()).isEmpty();
 			assertThat(peer.view().loads().get(ENDPOINT)).isEqualTo(new EndpointLoad(gateways - 1, gateways - 1));
@@ -95,11 +95,11 @@
 		runFor(Duration.ofSeconds(4));
 		this.fleet.forEach((peer) -> peer.counted = 5);
 		runFor(Duration.ofSeconds(2));
-		List<Peer> aggregators = this.fleet.stream().filter((peer) -> peer.view().aggregates()).toList();
+		List<Peer> aggregators = this.fleet.stream().filter((peer) -> peer.view().aggregator()).toList();
 		aggregators.stream().filter((peer) -> peer.dataCenter.value().equals("dc-0")).forEach(Peer::die);
 		runFor(Duration.ofSeconds(5));
 		for (Peer peer : alive()) {
-			assertThat(peer.table.counted(WINDOW)).as("counted by " + peer.name).containsEntry(ACCOUNT, 300L);
+			assertThat(peer.table.usageCounts(WINDOW)).as("counted by " + peer.name).containsEntry(ACCOUNT, 300L);
 		}
 	}
 
@@ -118,7 +118,7 @@
 		runFor(Duration.ofSeconds(3));
 		for (Peer peer : this.fleet) {
 			if (peer != restarted || gateways > 16) {
-				assertThat(peer.table.counted(WINDOW)).as("counted by " + peer.name).containsEntry(ACCOUNT, 70L);
+				assertThat(peer.table.usageCounts(WINDOW)).as("counted by " + peer.name).containsEntry(ACCOUNT, 70L);
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 		start(60, 3);
 		runFor(Duration.ofSeconds(4));
 		this.fleet.stream()
-			.filter((peer) -> peer.view().aggregates() && peer.dataCenter.value().equals("dc-1"))
+			.filter((peer) -> peer.view().aggregator() && peer.dataCenter.value().equals("dc-1"))
 			.forEach(Peer::die);
 		runFor(Duration.ofSeconds(3));
 		for (Peer peer : alive()) {
@@ -157,7 +157,7 @@
 		runFor(Duration.ofMillis(1500));
 		for (Peer peer : this.fleet) {
 			assertThat(peer.view().unreachableDataCenters()).as("unreachable from " + peer.name).isEmpty();
-			assertThat(peer.view().others()).isEqualTo(59);
+			assertThat(peer.view().otherGateways()).isEqualTo(59);
 		}
 	}
 
@@ -181,7 +181,7 @@
 	void recordsRelayedByAReaderReachEveryGateway() {
 		start(100, 5);
 		runFor(Duration.ofSeconds(4));
-		Peer reader = this.fleet.stream().filter((peer) -> peer.view().aggregates()).findFirst().orElseThrow();
+		Peer reader = this.fleet.stream().filter((peer) -> peer.view().aggregator()).findFirst().orElseThrow();
 		reader.exchange.relay(new RelayedRecords(Topic.ENDPOINTS, List.of(new TopicRecord(1, "e", null)), null));
 		deliver();
 		deliver();
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/PeerMessageCodecTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/PeerMessageCodecTests.java
@@ -62,7 +62,7 @@
 		assertThat(this.codec.read(this.codec.write(new PeerMessage.Report(sent))))
 			.isEqualTo(new PeerMessage.Report(sent));
 		LeaseRecord lease = new LeaseRecord("edge-1", 4, 2, List.of(),
-				List.of(rollout.with(5, new RolloutStage.Completed())));
+				List.of(rollout.withDecision(5, new RolloutStage.Completed())));
 		LeaseRecordCodec leaseCodec = new LeaseRecordCodec();
 		assertThat(leaseCodec.read(leaseCodec.write(lease))).isEqualTo(lease);
 	}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/ReadDelegationTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/ReadDelegationTests.java
@@ -74,9 +74,9 @@
 		this.now += time.toNanos();
 	}
 
-	private static FleetView fleet(List<Long> readers, boolean leaseHeld, boolean aggregates) {
-		return new FleetView(5, 1, Set.of(), Map.of(), Map.of(), RolloutReport.NONE, Map.of(), leaseHeld,
-				SharedStateVersion.NONE, readers, aggregates);
+	private static FleetView fleet(List<Long> readers, boolean leaseHeldElsewhere, boolean aggregator) {
+		return new FleetView(5, 1, Set.of(), Map.of(), Map.of(), RolloutReport.NONE, Map.of(), leaseHeldElsewhere,
+				SharedStateVersion.NONE, readers, aggregator);
 	}
 
 }
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/RolloutExecutorTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/RolloutExecutorTests.java
@@ -95,7 +95,7 @@
 		startRollout();
 		runFor(11_900, 0);
 		this.executor = newExecutor();
-		this.table.ordered(ORDER);
+		this.table.addOrder(ORDER);
 		for (int i = 0; i < 30; i++) {
 			this.now += 200 * MILLISECOND;
 			this.executor.tick(FENCE + 1, this.persisted, this.now);
@@ -121,7 +121,7 @@
 		runFor(12_000, 0);
 		list("a", "v2");
 		list("c", "v3");
-		this.table.ordered(new RolloutOrder(SERVICE, "v3", Duration.ofSeconds(12), 8));
+		this.table.addOrder(new RolloutOrder(SERVICE, "v3", Duration.ofSeconds(12), 8));
 		this.endpoints.remove(new EndpointId("a"));
 		this.endpoints.remove(new EndpointId("b"));
 		Rollout decision = null;
@@ -138,7 +138,7 @@
 	@Test
 	void anOrderForTheServingVersionIsCompletedImmediately() {
 		list("a", "v2");
-		this.table.ordered(ORDER);
+		this.table.addOrder(ORDER);
 		runFor(2_000, 0);
 		assertThat(this.topics.states()).last().isEqualTo("completed v2");
 	}
@@ -146,7 +146,7 @@
 	private void startRollout() {
 		list("a", "v1");
 		list("b", "v2");
-		this.table.ordered(ORDER);
+		this.table.addOrder(ORDER);
 	}
 
 	private void runFor(int millis, double badRate) {
@@ -163,12 +163,12 @@
 		for (int i = 0; i < 40; i++) {
 			boolean candidate = i % 20 == 0 && this.now > 4_000 * MILLISECOND;
 			String version = candidate ? "v2" : "v1";
-			this.table.sent(SERVICE, "chat", version);
+			this.table.recordSent(SERVICE, "chat", version);
 			if (candidate && badRate > 0 && i % 40 == 0) {
-				this.table.failed(SERVICE, "chat", version);
+				this.table.recordFailed(SERVICE, "chat", version);
 			}
 			else {
-				this.table.answered(SERVICE, "chat", version, new AnswerTimes(1, 1));
+				this.table.recordAnswered(SERVICE, "chat", version, new AnswerTimes(1, 1));
 			}
 		}
 	}
@@ -201,13 +201,13 @@
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
+		public CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String after) {
 			List<TopicRecord> newest = this.records.isEmpty() ? List.of() : List.of(this.records.getLast());
 			return CompletableFuture.completedFuture(new TopicPage(newest, this.records.size(), null, false));
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
+		public CompletableFuture<TopicPage> readChanges(Topic topic, long from, Duration wait) {
 			throw new UnsupportedOperationException("changes");
 		}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
@@ -170,8 +170,8 @@
 		}
 	}
 
-	private static TopicPage page(long next, TopicRecord... records) {
-		return new TopicPage(List.of(records), next, null, false);
+	private static TopicPage page(long nextOffset, TopicRecord... records) {
+		return new TopicPage(List.of(records), nextOffset, null, false);
 	}
 
 	private static TopicRecord entry(long offset, String key, @Nullable String value) {
@@ -190,12 +190,12 @@
 		private final List<Long> requestedOffsets = new ArrayList<>();
 
 		@Override
-		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
+		public CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String after) {
 			return CompletableFuture.completedFuture(this.newest.removeFirst());
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
+		public CompletableFuture<TopicPage> readChanges(Topic topic, long from, Duration wait) {
 			this.requestedOffsets.add(from);
 			if (this.changes.isEmpty()) {
 				return CompletableFuture.completedFuture(page(from));
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/LeaseElectorTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/LeaseElectorTests.java
@@ -25,7 +25,7 @@
 		LeaseElector elector = elector(1);
 		topic.read(elector, 0);
 		topic.append(elector, 0);
-		assertThat(elector.holds(0)).isTrue();
+		assertThat(elector.holdsLease(0)).isTrue();
 		assertThat(elector.fence()).isEqualTo(1);
 	}
 
@@ -41,10 +41,10 @@
 		topic.read(second, 0);
 		topic.append(first, 0);
 		topic.append(second, 0);
-		assertThat(first.holds(0)).isTrue();
-		assertThat(second.holds(0)).isFalse();
+		assertThat(first.holdsLease(0)).isTrue();
+		assertThat(second.holdsLease(0)).isFalse();
 		topic.read(second, MILLISECOND);
-		assertThat(second.toAppend(List.of(), List.of(), false, MILLISECOND)).isNull();
+		assertThat(second.nextRecord(List.of(), List.of(), false, MILLISECOND)).isNull();
 	}
 
 	// Guards against a claimant that acts on a claim with an unknown outcome: the store
@@ -56,11 +56,11 @@
 		LeaseElector elector = elector(1);
 		topic.read(elector, 0);
 		topic.appendAndLoseResponse(elector, 0);
-		assertThat(elector.holds(0)).isFalse();
+		assertThat(elector.holdsLease(0)).isFalse();
 		topic.read(elector, MILLISECOND);
-		assertThat(elector.holds(MILLISECOND)).isFalse();
+		assertThat(elector.holdsLease(MILLISECOND)).isFalse();
 		topic.append(elector, 2 * MILLISECOND);
-		assertThat(elector.holds(2 * MILLISECOND)).isTrue();
+		assertThat(elector.holdsLease(2 * MILLISECOND)).isTrue();
 		assertThat(elector.fence()).isEqualTo(1);
 	}
 
@@ -71,8 +71,8 @@
 		topic.read(elector, 0);
 		topic.append(elector, 0);
 		UsageReport report = new UsageReport(5, Map.of());
-		assertThat(elector.toAppend(List.of(report), List.of(), false, MILLISECOND)).isNull();
-		assertThat(elector.toAppend(List.of(report), List.of(), true, MILLISECOND)).isNotNull();
+		assertThat(elector.nextRecord(List.of(report), List.of(), false, MILLISECOND)).isNull();
+		assertThat(elector.nextRecord(List.of(report), List.of(), true, MILLISECOND)).isNotNull();
 	}
 
 	// Guards against seconds without a holder after all processes were killed at once.
@@ -85,10 +85,10 @@
 		LeaseElector restartedProcess = new LeaseElector("edge-1", 7, LEASE, 0, MILLISECOND);
 		LeaseElector other = new LeaseElector("edge-2", 8, LEASE, 0, MILLISECOND);
 		topic.read(other, MILLISECOND);
-		assertThat(other.toAppend(List.of(), List.of(), false, MILLISECOND)).isNull();
+		assertThat(other.nextRecord(List.of(), List.of(), false, MILLISECOND)).isNull();
 		topic.read(restartedProcess, MILLISECOND);
 		topic.append(restartedProcess, MILLISECOND);
-		assertThat(restartedProcess.holds(MILLISECOND)).isTrue();
+		assertThat(restartedProcess.holdsLease(MILLISECOND)).isTrue();
 		assertThat(restartedProcess.fence()).isGreaterThan(killedProcess.fence());
 	}
 
@@ -115,7 +115,7 @@
 					topic.read(elector, now);
 					topic.append(elector, now);
 				}
-				if (elector.holds(now)) {
+				if (elector.holdsLease(now)) {
 					holders++;
 					assertThat(elector.fence()).isGreaterThanOrEqualTo(highestFence);
 					holderChanges += (elector.fence() > highestFence) ? 1 : 0;
@@ -136,13 +136,13 @@
 		topic.read(elector, 0);
 		topic.append(elector, 0);
 		long renewalTime = LEASE.toNanos() / 3;
-		LeaseRecord renewing = Objects.requireNonNull(elector.toAppend(List.of(), List.of(), false, renewalTime));
+		LeaseRecord renewing = Objects.requireNonNull(elector.nextRecord(List.of(), List.of(), false, renewalTime));
 		topic.tryAppend(elector, renewing);
-		elector.stoodStill(renewalTime + MILLISECOND);
-		elector.appended(renewing, 1, renewalTime + 2 * MILLISECOND);
-		assertThat(elector.holds(renewalTime + 2 * MILLISECOND)).isFalse();
+		elector.onProcessPause(renewalTime + MILLISECOND);
+		elector.appendSucceeded(renewing, 1, renewalTime + 2 * MILLISECOND);
+		assertThat(elector.holdsLease(renewalTime + 2 * MILLISECOND)).isFalse();
 		topic.read(elector, renewalTime + 3 * MILLISECOND);
-		assertThat(elector.toAppend(List.of(), List.of(), true, renewalTime + 3 * MILLISECOND)).as("backs off")
+		assertThat(elector.nextRecord(List.of(), List.of(), true, renewalTime + 3 * MILLISECOND)).as("backs off")
 			.isNull();
 	}
 
@@ -214,9 +214,9 @@
 			}
 			if (this.resumed) {
 				this.resumed = false;
-				this.elector.stoodStill(monotonicNow);
+				this.elector.onProcessPause(monotonicNow);
 			}
-			long actingFence = this.elector.holds(monotonicNow) ? this.elector.fence() : 0;
+			long actingFence = this.elector.holdsLease(monotonicNow) ? this.elector.fence() : 0;
 			if (!receivesFirst) {
 				receive(now, monotonicNow);
 			}
@@ -238,7 +238,7 @@
 		}
 
 		private void send(Topic topic, SplittableRandom random, long now, long monotonicNow) {
-			LeaseRecord record = this.elector.toAppend(List.of(), List.of(), false, monotonicNow);
+			LeaseRecord record = this.elector.nextRecord(List.of(), List.of(), false, monotonicNow);
 			if (record == null) {
 				return;
 			}
@@ -254,10 +254,10 @@
 			}
 			this.pending = null;
 			if (this.appendedOffset >= 0) {
-				this.elector.appended(record, this.appendedOffset, monotonicNow);
+				this.elector.appendSucceeded(record, this.appendedOffset, monotonicNow);
 			}
 			else {
-				this.elector.notAppended(record);
+				this.elector.appendFailed(record);
 			}
 		}
 
@@ -271,32 +271,32 @@
 
 		private void read(LeaseElector elector, long now) {
 			int nextOffset = this.nextOffsets.getOrDefault(elector, 0);
-			this.records.subList(nextOffset, this.records.size()).forEach((record) -> elector.read(record, now));
+			this.records.subList(nextOffset, this.records.size()).forEach((record) -> elector.apply(record, now));
 			this.nextOffsets.put(elector, this.records.size());
-			elector.ends(this.records.size());
+			elector.advanceTopicEnd(this.records.size());
 		}
 
 		private boolean tryAppend(LeaseElector elector, LeaseRecord record) {
-			return elector.expectedEnd() == this.records.size() && this.records.add(record);
+			return elector.expectedEndOffset() == this.records.size() && this.records.add(record);
 		}
 
 		private void append(LeaseElector elector, long now) {
-			LeaseRecord record = elector.toAppend(List.of(), List.of(), false, now);
+			LeaseRecord record = elector.nextRecord(List.of(), List.of(), false, now);
 			if (record == null) {
 				return;
 			}
 			if (tryAppend(elector, record)) {
-				elector.appended(record, this.records.size() - 1L, now);
+				elector.appendSucceeded(record, this.records.size() - 1L, now);
 			}
 			else {
-				elector.notAppended(record);
+				elector.appendFailed(record);
 			}
 		}
 
 		private void appendAndLoseResponse(LeaseElector elector, long now) {
-			LeaseRecord record = Objects.requireNonNull(elector.toAppend(List.of(), List.of(), false, now));
+			LeaseRecord record = Objects.requireNonNull(elector.nextRecord(List.of(), List.of(), false, now));
 			tryAppend(elector, record);
-			elector.notAppended(record);
+			elector.appendFailed(record);
 		}
 
 	}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/PeerTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/PeerTableTests.java
@@ -32,16 +32,16 @@
 
 	@Test
 	void returnsQuotaUsedSincePreviousReport() {
-		assertThat(this.peerTable.read(report(1000), 0)).isEmpty();
-		assertThat(this.peerTable.read(report(1400), SECOND / 4)).containsEntry(ACCOUNT, 400.0);
+		assertThat(this.peerTable.receive(report(1000), 0)).isEmpty();
+		assertThat(this.peerTable.receive(report(1400), SECOND / 4)).containsEntry(ACCOUNT, 400.0);
 	}
 
 	// Guards against an account that is rejected at all gateways after a network
 	// partition, because the usage accepted on the other side is charged in full.
 	@Test
 	void usageDuringPartitionIsNotChargedInFull() {
-		this.peerTable.read(report(0), 0);
-		double charged = this.peerTable.read(report(60_000), 6 * SECOND).getOrDefault(ACCOUNT, 0.0);
+		this.peerTable.receive(report(0), 0);
+		double charged = this.peerTable.receive(report(60_000), 6 * SECOND).getOrDefault(ACCOUNT, 0.0);
 		assertThat(charged).as("usage accepted before it became unreachable").isBetween(10_000.0, 20_000.0);
 	}
 
@@ -49,15 +49,15 @@
 	// unreachable data centre.
 	@Test
 	void dataCenterWithoutRespondingGatewayIsUnreachable() {
-		this.peerTable.read(report(1, "near"), 0);
-		this.peerTable.read(report(2, "far"), 0);
-		this.peerTable.read(report(3, "far"), 0);
-		this.peerTable.read(report(4, "third"), 0);
-		this.peerTable.read(report(3, "far"), SECOND);
+		this.peerTable.receive(report(1, "near"), 0);
+		this.peerTable.receive(report(2, "far"), 0);
+		this.peerTable.receive(report(3, "far"), 0);
+		this.peerTable.receive(report(4, "third"), 0);
+		this.peerTable.receive(report(3, "far"), SECOND);
 		assertThat(unreachableDataCenters(SECOND)).extracting(DataCenterName::value).containsExactly("third");
 		assertThat(unreachableDataCenters(2 * SECOND)).extracting(DataCenterName::value)
 			.containsExactlyInAnyOrder("far", "third");
-		this.peerTable.read(report(4, "third"), 2 * SECOND);
+		this.peerTable.receive(report(4, "third"), 2 * SECOND);
 		assertThat(unreachableDataCenters(2 * SECOND)).extracting(DataCenterName::value).containsExactly("far");
 	}
 
@@ -66,33 +66,33 @@
 	@Test
 	void otherGatewaysReadWhenTooFewReadersRespond() {
 		for (long incarnation = 1; incarnation <= 3; incarnation++) {
-			this.peerTable.read(reading(incarnation), 0);
+			this.peerTable.receive(reading(incarnation), 0);
 		}
-		assertThat(this.peerTable.view(0).readingIsLeftToOthers(9)).isTrue();
-		assertThat(this.peerTable.view(0).readingIsLeftToOthers(2)).isFalse();
-		this.peerTable.read(reading(1), SECOND);
-		this.peerTable.read(reading(2), SECOND);
-		assertThat(this.peerTable.view(SECOND).readingIsLeftToOthers(9)).isFalse();
+		assertThat(this.peerTable.view(0).delegatesReading(9)).isTrue();
+		assertThat(this.peerTable.view(0).delegatesReading(2)).isFalse();
+		this.peerTable.receive(reading(1), SECOND);
+		this.peerTable.receive(reading(2), SECOND);
+		assertThat(this.peerTable.view(SECOND).delegatesReading(9)).isFalse();
 	}
 
 	// Guards against relying on a gateway that cannot reach the store.
 	@Test
 	void gatewayThatDoesNotReadStoreIsNotCountedAsReader() {
-		this.peerTable.read(reading(1), 0);
-		this.peerTable.read(reading(2), 0);
-		this.peerTable.read(report(3, "near"), 0);
-		assertThat(this.peerTable.view(0).readingIsLeftToOthers(9)).isFalse();
+		this.peerTable.receive(reading(1), 0);
+		this.peerTable.receive(reading(2), 0);
+		this.peerTable.receive(report(3, "near"), 0);
+		assertThat(this.peerTable.view(0).delegatesReading(9)).isFalse();
 	}
 
 	@Test
 	void aggregatorAddsUpItsGroupAndOtherGroups() {
-		this.peerTable.read(loaded(1, 2), 0);
-		this.peerTable.read(loaded(2, 3), 0);
-		this.peerTable.read(summary(5, "far", 10), 0);
+		this.peerTable.receive(loaded(1, 2), 0);
+		this.peerTable.receive(loaded(2, 3), 0);
+		this.peerTable.receive(summary(5, "far", 10), 0);
 		FleetView view = this.peerTable.view(0);
-		assertThat(view.others()).isEqualTo(12);
+		assertThat(view.otherGateways()).isEqualTo(12);
 		assertThat(view.loads().get(ENDPOINT)).isEqualTo(new EndpointLoad(15, 1500));
-		assertThat(view.work()).containsEntry(SERVICE, 150.0);
+		assertThat(view.demand()).containsEntry(SERVICE, 150.0);
 		assertThat(this.peerTable.groupSummary("near", 0).gateways()).isEqualTo(3);
 		assertThat(this.peerTable.fleetSummary(0).gateways()).isEqualTo(13);
 	}
@@ -101,23 +101,23 @@
 	// group.
 	@Test
 	void onlyOneOfTwoSummariesOfGroupIsCounted() {
-		this.peerTable.read(summary(5, "far", 10), 0);
-		this.peerTable.read(summary(6, "far", 9), 0);
-		assertThat(this.peerTable.view(0).others()).isEqualTo(10);
-		this.peerTable.read(summary(6, "far", 9), SECOND);
-		assertThat(this.peerTable.view(SECOND).others()).as("other aggregator failed").isEqualTo(9);
+		this.peerTable.receive(summary(5, "far", 10), 0);
+		this.peerTable.receive(summary(6, "far", 9), 0);
+		assertThat(this.peerTable.view(0).otherGateways()).isEqualTo(10);
+		this.peerTable.receive(summary(6, "far", 9), SECOND);
+		assertThat(this.peerTable.view(SECOND).otherGateways()).as("other aggregator failed").isEqualTo(9);
 	}
 
 	// Guards against a gateway that counts its own requests as load of the others.
 	@Test
 	void nonAggregatorSubtractsItselfFromFleet() {
 		this.peerTable.configure(false, Set.of("near", "far"), RESPONSE_TIMEOUT);
-		this.peerTable.ownReport(loaded(9, 2));
-		this.peerTable.read(fleet(5, 12), 0);
+		this.peerTable.setOwnReport(loaded(9, 2));
+		this.peerTable.receive(fleet(5, 12), 0);
 		FleetView view = this.peerTable.view(0);
-		assertThat(view.others()).isEqualTo(11);
+		assertThat(view.otherGateways()).isEqualTo(11);
 		assertThat(view.loads().get(ENDPOINT)).isEqualTo(new EndpointLoad(10, 1000));
-		assertThat(view.work()).containsEntry(SERVICE, 100.0);
+		assertThat(view.demand()).containsEntry(SERVICE, 100.0);
 	}
 
 	// Guards against a lease holder that mistakes itself for another gateway and polls
@@ -125,12 +125,12 @@
 	@Test
 	void ownLeaseIsNotReportedAsHeldElsewhere() {
 		this.peerTable.configure(false, Set.of("near"), RESPONSE_TIMEOUT);
-		this.peerTable
-			.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 9, SharedStateVersion.NONE, List.of()), 0);
-		assertThat(this.peerTable.view(0).leaseHeld()).isFalse();
-		this.peerTable
-			.read(new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 7, SharedStateVersion.NONE, List.of()), 0);
-		assertThat(this.peerTable.view(0).leaseHeld()).isTrue();
+		this.peerTable.receive(
+				new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 9, SharedStateVersion.NONE, List.of()), 0);
+		assertThat(this.peerTable.view(0).leaseHeldElsewhere()).isFalse();
+		this.peerTable.receive(
+				new FleetSummary(5, null, List.of(), TrafficTotals.NONE, 7, SharedStateVersion.NONE, List.of()), 0);
+		assertThat(this.peerTable.view(0).leaseHeldElsewhere()).isTrue();
 	}
 
 	// Guards against a gateway that continues to use the loads and readers of a fleet
@@ -138,9 +138,9 @@
 	@Test
 	void expiredSummaryProvidesOnlyFleetSize() {
 		this.peerTable.configure(false, Set.of("near"), RESPONSE_TIMEOUT);
-		this.peerTable.read(fleet(5, 12), 0);
+		this.peerTable.receive(fleet(5, 12), 0);
 		FleetView view = this.peerTable.view(2 * SECOND);
-		assertThat(view.others()).isEqualTo(11);
+		assertThat(view.otherGateways()).isEqualTo(11);
 		assertThat(view.reachableShare()).isEqualTo(1.0 / 12);
 		assertThat(view.loads()).isEmpty();
 		assertThat(view.readers()).isEmpty();
@@ -151,10 +151,10 @@
 	// data centre.
 	@Test
 	void removedGroupsAreNotCounted() {
-		this.peerTable.read(summary(5, "far-1", 1), 0);
+		this.peerTable.receive(summary(5, "far-1", 1), 0);
 		this.peerTable.configure(true, Set.of("near", "far"), RESPONSE_TIMEOUT);
-		this.peerTable.read(summary(5, "far", 10), 0);
-		assertThat(this.peerTable.view(0).others()).isEqualTo(10);
+		this.peerTable.receive(summary(5, "far", 10), 0);
+		assertThat(this.peerTable.view(0).otherGateways()).isEqualTo(10);
 	}
 
 	private Set<DataCenterName> unreachableDataCenters(long now) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
@@ -55,7 +55,7 @@
 		add(remaining, CHEAP, 2, true);
 		List<ScalingPolicy.CapacityOrder> orders = decide(remaining, 1900, 1);
 		assertThat(total(orders, false)).isEqualTo(4);
-		assertThat(orders).filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
+		assertThat(orders).filteredOn((order) -> order.dataCenter().equals(CHEAP) && order.reclaimable())
 			.singleElement()
 			.satisfies((order) -> assertThat(order.count()).isGreaterThanOrEqualTo(2));
 	}
@@ -79,7 +79,7 @@
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 5, true);
 		assertThat(decide(remaining, 100, false, 0))
-			.filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
+			.filteredOn((order) -> order.dataCenter().equals(CHEAP) && order.reclaimable())
 			.singleElement()
 			.satisfies((order) -> assertThat(order.count()).isEqualTo(5));
 	}
@@ -112,7 +112,7 @@
 			List<ScalingPolicy.CapacityOrder> orders = decide(listed, 6000, true, second);
 			listed = new ArrayList<>();
 			for (ScalingPolicy.CapacityOrder order : orders) {
-				add(listed, order.zone(), order.count(), order.reclaimable());
+				add(listed, order.dataCenter(), order.count(), order.reclaimable());
 			}
 			assertThat(listed).hasSizeGreaterThanOrEqualTo(10);
 		}
@@ -145,8 +145,9 @@
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 3, true);
 		add(remaining, MIDDLE, 3, true);
-		assertThat(decide(remaining, 4700, true, 1)).isNotEmpty().noneMatch((order) -> order.zone().equals(EXPENSIVE));
-		assertThat(decide(remaining, 4700, true, 30)).anyMatch((order) -> order.zone().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 1)).isNotEmpty()
+			.noneMatch((order) -> order.dataCenter().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 30)).anyMatch((order) -> order.dataCenter().equals(EXPENSIVE));
 	}
 
 	@Test
@@ -158,7 +159,7 @@
 		decide(leaving, 4700, true, 0);
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 3, true);
-		assertThat(decide(remaining, 4700, true, 1)).anyMatch((order) -> order.zone().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 1)).anyMatch((order) -> order.dataCenter().equals(EXPENSIVE));
 	}
 
 	// Guards against a fleet that is scaled down before its first request. It starts
@@ -195,16 +196,17 @@
 					0);
 			for (DataCenterName dataCenter : List.of(CHEAP, MIDDLE, EXPENSIVE)) {
 				int total = orders.stream()
-					.filter((order) -> order.zone().equals(dataCenter))
+					.filter((order) -> order.dataCenter().equals(dataCenter))
 					.mapToInt(ScalingPolicy.CapacityOrder::count)
 					.sum();
-				assertThat(total).as("demand %s", demand).isBetween(LIMITS.fewest(), LIMITS.most());
+				assertThat(total).as("demand %s", demand)
+					.isBetween(LIMITS.minimumEndpoints(), LIMITS.maximumEndpoints());
 			}
 		}
 	}
 
 	private static int onDemandIn(DataCenterName dataCenter, List<ScalingPolicy.CapacityOrder> orders) {
-		return total(orders.stream().filter((order) -> order.zone().equals(dataCenter)).toList(), false);
+		return total(orders.stream().filter((order) -> order.dataCenter().equals(dataCenter)).toList(), false);
 	}
 
 	private List<ScalingPolicy.CapacityOrder> decide(List<EndpointEntry> listed, double demand, long second) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsageReportPlannerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/UsageReportPlannerTests.java
@@ -22,8 +22,8 @@
 
 	@Test
 	void reportsWindowOnceItsCountsAreFinal() {
-		assertThat(toName(List.of(), 1005, 3)).isEmpty();
-		assertThat(toName(List.of(), 1008, 3)).extracting(UsageReport::window).containsExactly(200L);
+		assertThat(reportsToRecord(List.of(), 1005, 3)).isEmpty();
+		assertThat(reportsToRecord(List.of(), 1008, 3)).extracting(UsageReport::window).containsExactly(200L);
 	}
 
 	// Guards against two different reports of a window. The lease holder fails after it
@@ -31,16 +31,17 @@
 	// then, but must send the recorded counts.
 	@Test
 	void recordedReportIsNeverRecounted() {
-		List<UsageReport> recorded = toName(List.of(), 1008, 3);
-		List<UsageReport> later = toName(recorded, 1013, 4);
+		List<UsageReport> recorded = reportsToRecord(List.of(), 1008, 3);
+		List<UsageReport> later = reportsToRecord(recorded, 1013, 4);
 		assertThat(later.getFirst()).isEqualTo(recorded.getFirst());
 		assertThat(later.getLast()).isEqualTo(new UsageReport(201, Map.of(ACCOUNT, 4L)));
 	}
 
 	@Test
 	void reportsOnlyWindowsStillDueAfterLongPause() {
-		List<UsageReport> recorded = toName(List.of(), 1008, 3);
-		assertThat(toName(recorded, 1100, 3)).extracting(UsageReport::window).containsExactly(215L, 216L, 217L, 218L);
+		List<UsageReport> recorded = reportsToRecord(List.of(), 1008, 3);
+		assertThat(reportsToRecord(recorded, 1100, 3)).extracting(UsageReport::window)
+			.containsExactly(215L, 216L, 217L, 218L);
 	}
 
 	// Guards against a usage report without the requests that a gateway counted before
@@ -48,20 +49,20 @@
 	@Test
 	void countsAreRetainedAfterTheirProcessExpires() {
 		PeerTable peerTable = new PeerTable(9, new DataCenterName("zone"));
-		peerTable.read(counted(1, 3), 0);
-		peerTable.read(counted(2, 4), 0);
-		peerTable.read(counted(2, 6), 1);
+		peerTable.receive(counted(1, 3), 0);
+		peerTable.receive(counted(2, 4), 0);
+		peerTable.receive(counted(2, 6), 1);
 		long later = Duration.ofMinutes(1).toNanos();
 		peerTable.expire(later);
-		assertThat(peerTable.view(later).others()).isZero();
-		assertThat(peerTable.counted(200)).containsExactly(Map.entry(ACCOUNT, 9L));
+		assertThat(peerTable.view(later).otherGateways()).isZero();
+		assertThat(peerTable.usageCounts(200)).containsExactly(Map.entry(ACCOUNT, 9L));
 	}
 
 	@Test
 	void returnsQuotaUsedSincePreviousReport() {
 		PeerTable peerTable = new PeerTable(9, new DataCenterName("zone"));
-		assertThat(peerTable.read(used(70), 0)).isEmpty();
-		assertThat(peerTable.read(used(100), 1)).containsExactly(Map.entry(ACCOUNT, 30.0));
+		assertThat(peerTable.receive(used(70), 0)).isEmpty();
+		assertThat(peerTable.receive(used(100), 1)).containsExactly(Map.entry(ACCOUNT, 30.0));
 		assertThat(peerTable.view(1).reachableShare()).isEqualTo(1);
 		assertThat(peerTable.view(Duration.ofSeconds(3).toNanos()).reachableShare()).isEqualTo(0.5);
 	}
@@ -80,8 +81,8 @@
 		return new GatewayReport(incarnation, new DataCenterName("zone"), traffic, false, SharedStateVersion.NONE);
 	}
 
-	private List<UsageReport> toName(List<UsageReport> recorded, long second, long count) {
-		return this.planner.toName(recorded, Instant.ofEpochSecond(second),
+	private List<UsageReport> reportsToRecord(List<UsageReport> recorded, long second, long count) {
+		return this.planner.reportsToRecord(recorded, Instant.ofEpochSecond(second),
 				(window) -> new UsageReport(window, Map.of(ACCOUNT, count)));
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/EndpointTableTests.java
@@ -38,9 +38,9 @@
 	@Test
 	void aDrainingEndpointReceivesNoRequests() {
 		PlacementRule placement = new PlacementRule(new DataCenterName("a"));
-		assertThat(placement.choose(this.table.listed(SERVICE), Prompt.NONE, Set.of(), 0)).isNotNull();
+		assertThat(placement.choose(this.table.endpointsOf(SERVICE), Prompt.NONE, Set.of(), 0)).isNotNull();
 		this.table.put(entry(true));
-		assertThat(placement.choose(this.table.listed(SERVICE), Prompt.NONE, Set.of(), 0)).isNull();
+		assertThat(placement.choose(this.table.endpointsOf(SERVICE), Prompt.NONE, Set.of(), 0)).isNull();
 	}
 
 	@Test
@@ -55,16 +55,16 @@
 	@Test
 	void anEndpointUnlistedByAnOutageIsKeptUntilItIsListedAgain() {
 		this.table.unlisted(ID, Duration.ofSeconds(1), 0);
-		assertThat(this.table.listed(SERVICE)).hasSize(1);
+		assertThat(this.table.endpointsOf(SERVICE)).hasSize(1);
 		this.table.put(entry(false));
-		assertThat(this.table.expire(5000 * MILLISECOND)).isEmpty();
+		assertThat(this.table.removeExpired(5000 * MILLISECOND)).isEmpty();
 	}
 
 	@Test
 	void anUnlistedEndpointIsRemovedAfterTheGracePeriod() {
 		this.table.unlisted(ID, Duration.ofSeconds(1), 0);
-		assertThat(this.table.expire(1000 * MILLISECOND)).containsExactly(ID);
-		assertThat(this.table.listed(SERVICE)).isEmpty();
+		assertThat(this.table.removeExpired(1000 * MILLISECOND)).containsExactly(ID);
+		assertThat(this.table.endpointsOf(SERVICE)).isEmpty();
 	}
 
 	// Guards against keeping an endpoint that was removed: the store recovered three
@@ -73,7 +73,7 @@
 	@Test
 	void anEndpointUnlistedLongAfterAnOutageIsRemovedImmediately() {
 		this.table.unlisted(ID, Duration.ofSeconds(3), 0);
-		assertThat(this.table.listed(SERVICE)).isEmpty();
+		assertThat(this.table.endpointsOf(SERVICE)).isEmpty();
 	}
 
 	@Test
@@ -90,14 +90,14 @@
 	void theConfigurationAppliesToEndpointsListedBeforeIt() {
 		EndpointTable early = new EndpointTable(new RateLimitAllocation("gateway", () -> List.of("gateway")));
 		early.put(entry(false));
-		Endpoint endpoint = early.listed(SERVICE).getFirst();
+		Endpoint endpoint = early.endpointsOf(SERVICE).getFirst();
 		Prompt prompt = new Prompt(List.of(), 10_000, 100);
-		double asPlain = endpoint.workMillis(prompt.tokensIn());
+		double asPlain = endpoint.serviceTimeMillis(prompt.inputTokens());
 		early.configure(new Configuration(1, List.of(),
 				List.of(new Service(SERVICE, 10, new EngineMemory(600_000, 0.001), null)), List.of(),
 				CallerLimits.DEFAULT));
-		assertThat(endpoint.workMillis(prompt.tokensIn())).isGreaterThan(asPlain);
-		assertThat(endpoint.workMillis(20_000)).isEqualTo(2 * endpoint.workMillis(prompt.tokensIn()));
+		assertThat(endpoint.serviceTimeMillis(prompt.inputTokens())).isGreaterThan(asPlain);
+		assertThat(endpoint.serviceTimeMillis(20_000)).isEqualTo(2 * endpoint.serviceTimeMillis(prompt.inputTokens()));
 	}
 
 	private static EndpointEntry entry(boolean draining) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PlacementRuleTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/endpoint/PlacementRuleTests.java
@@ -47,7 +47,7 @@
 		for (int i = 0; i < 60; i++) {
 			Prompt prompt = prompt(7, 5000);
 			Placement placement = place(endpoints, prompt);
-			placement.endpoint().sent(prompt, placement.prefillTokens());
+			placement.endpoint().requestSent(prompt, placement.prefillTokens());
 			sent.merge(placement.endpoint().id(), 1, Integer::sum);
 		}
 		assertThat(sent).hasSizeGreaterThanOrEqualTo(3);
@@ -60,7 +60,7 @@
 	void anotherEndpointCopiesThePromptFromABusyOwner() {
 		List<Endpoint> endpoints = endpoints(6);
 		Endpoint owner = choose(endpoints, prompt(7, 5000));
-		owner.others(20, 200_000);
+		owner.updateRemoteLoad(20, 200_000);
 		Placement spilled = place(endpoints, prompt(7, 5000));
 		assertThat(spilled.endpoint()).isNotEqualTo(owner);
 		assertThat(spilled.prefixSource()).isEqualTo(owner);
@@ -83,8 +83,8 @@
 		List<Endpoint> endpoints = endpoints(6);
 		Endpoint owner = choose(endpoints, prompt(7, 5000));
 		EndpointEntry entry = owner.entry();
-		owner.update(new EndpointEntry(entry.id(), entry.service(), entry.version(), entry.address(), entry.zone(),
-				entry.slots(), true, true, entry.startedAt()));
+		owner.update(new EndpointEntry(entry.id(), entry.service(), entry.version(), entry.address(),
+				entry.dataCenter(), entry.slots(), true, true, entry.startedAt()));
 		Placement next = place(endpoints, prompt(7, 5000));
 		assertThat(next.endpoint()).isNotEqualTo(owner);
 		assertThat(next.prefixSource()).isEqualTo(owner);
@@ -96,8 +96,8 @@
 	void noPrefixIsCopiedFromAFailingEndpoint() {
 		List<Endpoint> endpoints = endpoints(6);
 		Endpoint owner = choose(endpoints, prompt(7, 5000));
-		owner.failed(0);
-		owner.failed(0);
+		owner.requestFailed(0);
+		owner.requestFailed(0);
 		assertThat(place(endpoints, prompt(7, 5000)).prefixSource()).isNotEqualTo(owner);
 	}
 
@@ -111,17 +111,17 @@
 	@Test
 	void theLoadOfOtherGatewaysIsConsidered() {
 		List<Endpoint> endpoints = endpoints(2);
-		endpoints.getFirst().others(10, 60_000);
+		endpoints.getFirst().updateRemoteLoad(10, 60_000);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
 	}
 
 	@Test
 	void aFailingEndpointIsAvoidedAndAnUnresponsiveOneIsBackedOff() {
 		List<Endpoint> endpoints = endpoints(2);
-		endpoints.getFirst().answered(false, 0);
+		endpoints.getFirst().requestAnswered(false, 0);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
-		endpoints.getLast().failed(0);
-		endpoints.getLast().failed(0);
+		endpoints.getLast().requestFailed(0);
+		endpoints.getLast().requestFailed(0);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getFirst());
 		assertThat(this.rule.choose(endpoints, prompt(0, 0), Set.of(endpoints.getFirst().id()), 0)).isNull();
 		long later = Duration.ofSeconds(1).toNanos();
@@ -137,9 +137,9 @@
 						false, false, 1),
 				new EngineMemory(600_000, 0.0005), new PrefillLatency(),
 				new RateLimitAllocation("gateway", () -> List.of("gateway"))));
-		endpoints.getFirst().others(5, 40_000);
+		endpoints.getFirst().updateRemoteLoad(5, 40_000);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
-		this.rule.unreachable(Set.of(new DataCenterName("far")));
+		this.rule.setUnreachableDataCenters(Set.of(new DataCenterName("far")));
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getFirst());
 		assertThat(choose(endpoints.subList(1, 2), prompt(0, 0))).isEqualTo(endpoints.getLast());
 	}
@@ -151,9 +151,9 @@
 	void anEndpointIsTriedAgainSecondsAfterItsFailures() {
 		List<Endpoint> endpoints = endpoints(2);
 		for (int i = 0; i < 6; i++) {
-			endpoints.getFirst().answered(false, 0);
+			endpoints.getFirst().requestAnswered(false, 0);
 		}
-		endpoints.getLast().others(10, 10_000);
+		endpoints.getLast().updateRemoteLoad(10, 10_000);
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
 		long later = Duration.ofSeconds(10).toNanos();
 		assertThat(Objects.requireNonNull(this.rule.choose(endpoints, prompt(0, 0), Set.of(), later)).endpoint())
@@ -164,8 +164,8 @@
 	void aSlowEndpointIsAvoided() {
 		List<Endpoint> endpoints = endpoints(2);
 		for (int i = 0; i < 20; i++) {
-			endpoints.getFirst().firstToken(Duration.ofMillis(600), 10_000, 0);
-			endpoints.getLast().firstToken(Duration.ofMillis(200), 10_000, 0);
+			endpoints.getFirst().recordTimeToFirstToken(Duration.ofMillis(600), 10_000, 0);
+			endpoints.getLast().recordTimeToFirstToken(Duration.ofMillis(200), 10_000, 0);
 		}
 		assertThat(choose(endpoints, prompt(0, 0))).isEqualTo(endpoints.getLast());
 	}
@@ -174,12 +174,12 @@
 	void aRestartedEndpointHasAnEmptyCache() {
 		Endpoint endpoint = endpoints(1).getFirst();
 		Prompt prompt = prompt(3, 5000);
-		endpoint.sent(prompt, prompt.tokensIn());
+		endpoint.requestSent(prompt, prompt.inputTokens());
 		assertThat(endpoint.uncachedTokens(prompt)).isZero();
 		EndpointEntry entry = endpoint.entry();
-		endpoint.update(new EndpointEntry(entry.id(), entry.service(), entry.version(), entry.address(), entry.zone(),
-				entry.slots(), false, false, 99));
-		assertThat(endpoint.uncachedTokens(prompt)).isEqualTo(prompt.tokensIn());
+		endpoint.update(new EndpointEntry(entry.id(), entry.service(), entry.version(), entry.address(),
+				entry.dataCenter(), entry.slots(), false, false, 99));
+		assertThat(endpoint.uncachedTokens(prompt)).isEqualTo(prompt.inputTokens());
 	}
 
 	private Endpoint choose(List<Endpoint> endpoints, Prompt prompt) {
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/RequestRouterTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/RequestRouterTests.java
@@ -60,9 +60,9 @@
 	// elsewhere.
 	@Test
 	void drainingRejectsRequestsThatCouldBeInterrupted() {
-		assertThat(rejectionKind(CONFIGURATION, DrainPhase.SHORT_ONES, "/stream/", "key"))
+		assertThat(rejectionKind(CONFIGURATION, DrainPhase.NON_STREAMING, "/stream/", "key"))
 			.isEqualTo(ErrorKind.STOPPING);
-		assertThat(decide(CONFIGURATION, DrainPhase.SHORT_ONES, "/plain/", "key"))
+		assertThat(decide(CONFIGURATION, DrainPhase.NON_STREAMING, "/plain/", "key"))
 			.isInstanceOf(RoutingDecision.Accepted.class);
 		assertThat(rejectionKind(CONFIGURATION, DrainPhase.NONE, "/plain/", "key")).isEqualTo(ErrorKind.STOPPING);
 	}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/TestHeaderCodec.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/exchange/TestHeaderCodec.java
@@ -23,15 +23,15 @@
 	}
 
 	@Override
-	public boolean passesOn(String name) {
+	public boolean isForwarded(String name) {
 		return !name.equals("key");
 	}
 
 	@Override
 	public void writeCall(HttpHeaders headers, EndpointCall call) {
 		headers.set("endpoint", call.endpoint().value());
-		if (call.lastEvent() != null) {
-			headers.set("last-event", call.lastEvent());
+		if (call.lastEventId() != null) {
+			headers.set("last-event", call.lastEventId());
 		}
 	}
 
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutFleetTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutFleetTests.java
@@ -112,7 +112,7 @@
 			this.random = random;
 			for (int i = 0; i < gateways; i++) {
 				RolloutTable table = new RolloutTable();
-				table.ordered(new RolloutOrder(SERVICE, "v2", duration, 3));
+				table.addOrder(new RolloutOrder(SERVICE, "v2", duration, 3));
 				this.gateways.add(table);
 				this.decisionDelaysMillis.add(200 + random.nextInt(600));
 			}
@@ -125,7 +125,7 @@
 			for (int atMillis = 0; atMillis < endMillis; atMillis += TICK_MILLIS) {
 				serve(atMillis, badRate, faultStartMillis, singleRouteFault);
 				report(atMillis);
-				if (!rollout.stage().settled()) {
+				if (!rollout.stage().isTerminal()) {
 					rollout = decide(rollout, atMillis);
 				}
 				this.publishedDecisions.put(atMillis, List.of(rollout));
@@ -141,10 +141,10 @@
 			RolloutReport fleet = this.fleetReports.getLast();
 			RolloutController.Step step = this.controller.next(rollout, fleet, endpoints,
 					Instant.ofEpochMilli(atMillis));
-			if (step.stage().settled()) {
+			if (step.stage().isTerminal()) {
 				this.endedAtMillis = atMillis + PUBLICATION_DELAY_MILLIS;
 			}
-			return rollout.with(atMillis + 1L, step.stage());
+			return rollout.withDecision(atMillis + 1L, step.stage());
 		}
 
 		// Simulates the delay of aggregated reports, which are some hundred ms old.
@@ -162,7 +162,7 @@
 			for (int i = 0; i < this.gateways.size(); i++) {
 				int sentAt = (atMillis - this.decisionDelaysMillis.get(i)) / TICK_MILLIS * TICK_MILLIS;
 				List<Rollout> decisions = this.publishedDecisions.getOrDefault(sentAt, List.of());
-				this.gateways.get(i).decided(decisions, atMillis * 1_000_000L);
+				this.gateways.get(i).applyDecisions(decisions, atMillis * 1_000_000L);
 			}
 		}
 
@@ -176,12 +176,12 @@
 				boolean candidate = choice instanceof VersionChoice.Candidate;
 				boolean faulty = candidate && atMillis >= faultStartMillis && (!singleRouteFault || stream);
 				boolean bad = this.random.nextDouble() < (faulty ? badRate : 0.01);
-				gateway.sent(SERVICE, route, candidate ? "v2" : "v1");
+				gateway.recordSent(SERVICE, route, candidate ? "v2" : "v1");
 				if (bad) {
-					gateway.failed(SERVICE, route, candidate ? "v2" : "v1");
+					gateway.recordFailed(SERVICE, route, candidate ? "v2" : "v1");
 				}
 				else {
-					gateway.answered(SERVICE, route, candidate ? "v2" : "v1", new AnswerTimes(1, 10));
+					gateway.recordAnswered(SERVICE, route, candidate ? "v2" : "v1", new AnswerTimes(1, 10));
 				}
 				count(atMillis, candidate, bad);
 			}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutTableTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/rollout/RolloutTableTests.java
@@ -38,7 +38,7 @@
 	@Test
 	void laterVersionReceivesNoRequestsWithoutOrder() {
 		list("a", "v1");
-		this.serving.noteVersions(List.of(SERVICE));
+		this.serving.recordVersions(List.of(SERVICE));
 		list("b", "v2");
 		assertThat(versions(0)).containsOnly("v1");
 	}
@@ -55,7 +55,7 @@
 	// rollout and knows the order, but not the stage.
 	@Test
 	void gatewayStartedDuringRolloutUsesBaseline() {
-		this.table.ordered(ORDER);
+		this.table.addOrder(ORDER);
 		list("a", "v1");
 		list("b", "v2");
 		assertThat(versions(0)).containsOnly("v1");
@@ -65,7 +65,7 @@
 	// fleet, because it did not receive the completion of the rollout.
 	@Test
 	void gatewayStartedAfterBaselineStoppedUsesCandidate() {
-		this.table.ordered(ORDER);
+		this.table.addOrder(ORDER);
 		list("b", "v2");
 		assertThat(versions(0)).containsOnly("v2");
 	}
@@ -104,7 +104,7 @@
 		listBoth();
 		decide(5, new RolloutStage.Completed());
 		assertThat(versions(0)).containsOnly("v2");
-		assertThat(this.serving.serving(SERVICE, 0)).allMatch(RolloutTableTests::isCandidate);
+		assertThat(this.serving.stableEndpoints(SERVICE, 0)).allMatch(RolloutTableTests::isCandidate);
 	}
 
 	// Guards against repeating an order that is read again after its history was
@@ -113,7 +113,7 @@
 	void repeatedOrderIsIgnored() {
 		listBoth();
 		decide(5, new RolloutStage.Completed());
-		assertThat(this.table.ordered(ORDER)).isFalse();
+		assertThat(this.table.addOrder(ORDER)).isFalse();
 		assertThat(versions(0)).containsOnly("v2");
 	}
 
@@ -123,7 +123,7 @@
 		listBoth();
 		decide(5, new RolloutStage.InProgress(1, 1));
 		list("c", "v3");
-		this.table.ordered(new RolloutOrder(SERVICE, "v3", Duration.ofSeconds(12), 8));
+		this.table.addOrder(new RolloutOrder(SERVICE, "v3", Duration.ofSeconds(12), 8));
 		assertThat(versions(0)).containsOnly("v1");
 		assertThat(this.table.inProgress(SERVICE)).isTrue();
 	}
@@ -133,20 +133,20 @@
 		listBoth();
 		decide(1, new RolloutStage.InProgress(0.04, 0.04));
 		for (int i = 0; i < 10; i++) {
-			this.table.answered(SERVICE, "chat", "v1", new AnswerTimes(1, 10));
+			this.table.recordAnswered(SERVICE, "chat", "v1", new AnswerTimes(1, 10));
 		}
-		this.table.answered(SERVICE, "chat", "v2", new AnswerTimes(2, 12));
-		this.table.answered(SERVICE, "chat", "v2", new AnswerTimes(1, 60));
-		this.table.answered(SERVICE, "chat", "v2", new AnswerTimes(8, 10));
+		this.table.recordAnswered(SERVICE, "chat", "v2", new AnswerTimes(2, 12));
+		this.table.recordAnswered(SERVICE, "chat", "v2", new AnswerTimes(1, 60));
+		this.table.recordAnswered(SERVICE, "chat", "v2", new AnswerTimes(8, 10));
 		assertThat(this.table.report().samplesByRoute(ORDER.offset(), true)).containsEntry("chat",
 				new VersionSamples(0, 3, 2));
 	}
 
 	private void listBoth() {
 		list("a", "v1");
-		this.serving.noteVersions(List.of(SERVICE));
+		this.serving.recordVersions(List.of(SERVICE));
 		list("b", "v2");
-		this.table.ordered(ORDER);
+		this.table.addOrder(ORDER);
 	}
 
 	private void list(String id, String version) {
@@ -155,7 +155,7 @@
 	}
 
 	private void decide(long revision, RolloutStage stage) {
-		this.table.decided(List.of(new Rollout(ORDER, "v1", Instant.EPOCH, revision, stage)), 0);
+		this.table.applyDecisions(List.of(new Rollout(ORDER, "v1", Instant.EPOCH, revision, stage)), 0);
 	}
 
 	private List<String> versions(double randomValue) {
