--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/ReadDelegation.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/daemon/ReadDelegation.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 import org.banyancove.gateway.duty.FleetView;
-import org.banyancove.gateway.shared.SteadyClock;
+import org.banyancove.gateway.shared.MonotonicClock;
 
 /**
  * Decides whether a gateway delegates its reads of the store to the aggregators.
@@ -27,7 +27,7 @@
 	 */
 	private static final Duration MISSING_HOLDER_TIMEOUT = Duration.ofSeconds(5);
 
-	private final SteadyClock clock;
+	private final MonotonicClock clock;
 
 	private final long incarnation;
 
@@ -39,10 +39,10 @@
 
 	/**
 	 * Creates the delegation. A process that starts has no state and reads on its own.
-	 * @param clock the steady clock
+	 * @param clock the monotonic clock
 	 * @param incarnation the incarnation of this process
 	 */
-	ReadDelegation(SteadyClock clock, long incarnation) {
+	ReadDelegation(MonotonicClock clock, long incarnation) {
 		this.clock = clock;
 		this.incarnation = incarnation;
 		this.readersLastSeenAt = clock.nanos() - MISSING_READERS_TIMEOUT.toNanos();
@@ -55,10 +55,10 @@
 	 */
 	void update(FleetView newest) {
 		this.fleetView = newest;
-		if (newest.readingIsLeftToOthers(this.incarnation)) {
+		if (newest.delegatesReading(this.incarnation)) {
 			this.readersLastSeenAt = this.clock.nanos();
 		}
-		if (newest.leaseHeld()) {
+		if (newest.leaseHeldElsewhere()) {
 			this.holderLastSeenAt = this.clock.nanos();
 		}
 	}
@@ -68,7 +68,7 @@
 	 * @return whether they do or are expected to do so shortly
 	 */
 	boolean delegatesSharedState() {
-		return this.fleetView.readingIsLeftToOthers(this.incarnation)
+		return this.fleetView.delegatesReading(this.incarnation)
 				|| withinTimeout(this.readersLastSeenAt, MISSING_READERS_TIMEOUT);
 	}
 
@@ -77,12 +77,12 @@
 	 * @return whether they do or are expected to do so shortly
 	 */
 	boolean delegatesLease() {
-		return !this.fleetView.aggregates()
-				&& (this.fleetView.leaseHeld() || withinTimeout(this.holderLastSeenAt, MISSING_HOLDER_TIMEOUT));
+		return !this.fleetView.aggregator() && (this.fleetView.leaseHeldElsewhere()
+				|| withinTimeout(this.holderLastSeenAt, MISSING_HOLDER_TIMEOUT));
 	}
 
 	private boolean withinTimeout(long lastSeenAt, Duration timeout) {
-		return !this.fleetView.aggregates() && this.fleetView.hearsOthers()
+		return !this.fleetView.aggregator() && this.fleetView.reachesOthers()
 				&& this.clock.nanos() - lastSeenAt < timeout.toNanos();
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/ScalingPolicy.java
@@ -89,8 +89,8 @@
 	 * @return the orders; none for an unreachable data centre, whose previous orders
 	 * remain in effect
 	 */
-	public List<Order> decide(ScalingLimits limits, Collection<EndpointEntry> listed, double demand, int inFlight,
-			boolean reclaimableAvailable, long now) {
+	public List<CapacityOrder> decide(ScalingLimits limits, Collection<EndpointEntry> listed, double demand,
+			int inFlight, boolean reclaimableAvailable, long now) {
 		List<DataCenterName> all = new ArrayList<>(limits.zonePrices().keySet());
 		all.sort(Comparator
 			.comparingDouble((DataCenterName dataCenter) -> limits.zonePrices().getOrDefault(dataCenter, 1.0))
@@ -117,7 +117,7 @@
 		Map<DataCenterName, Integer> running = runningReclaimable(listed, dataCenters);
 		Map<DataCenterName, Integer> reclaimable = distribute(
 				Math.max(dataCenters.size() * MINIMUM_RECLAIMABLE_PER_DATA_CENTER, (int) Math.ceil(desired)),
-				dataCenters, limits.most());
+				dataCenters, limits.maximumEndpoints());
 		if (!reclaimableAvailable) {
 			// Endpoints released now could not be replaced when the load increases.
 			running.forEach((dataCenter, count) -> reclaimable.merge(dataCenter, count, Math::max));
@@ -144,17 +144,18 @@
 		return listed.stream().mapToInt(EndpointEntry::slots).min().orElse(1);
 	}
 
-	private List<Order> orders(List<DataCenterName> dataCenters, Map<DataCenterName, Integer> onDemand,
+	private List<CapacityOrder> orders(List<DataCenterName> dataCenters, Map<DataCenterName, Integer> onDemand,
 			@Nullable Map<DataCenterName, Integer> reclaimable, ScalingLimits limits) {
 		this.onDemandOrdered = onDemand;
-		List<Order> orders = new ArrayList<>();
+		List<CapacityOrder> orders = new ArrayList<>();
 		for (DataCenterName dataCenter : dataCenters) {
 			int onDemandHere = onDemand.getOrDefault(dataCenter, 0);
 			int desiredHere = (reclaimable != null) ? reclaimable.getOrDefault(dataCenter, 0) : 0;
-			int reclaimableHere = Math.min(desiredHere, limits.most() - onDemandHere);
-			orders.add(new Order(dataCenter, false, Math.max(onDemandHere, limits.fewest() - reclaimableHere)));
+			int reclaimableHere = Math.min(desiredHere, limits.maximumEndpoints() - onDemandHere);
+			orders.add(new CapacityOrder(dataCenter, false,
+					Math.max(onDemandHere, limits.minimumEndpoints() - reclaimableHere)));
 			if (reclaimable != null) {
-				orders.add(new Order(dataCenter, true, reclaimableHere));
+				orders.add(new CapacityOrder(dataCenter, true, reclaimableHere));
 			}
 		}
 		return orders;
@@ -169,7 +170,7 @@
 	 */
 	public static int running(Collection<EndpointEntry> listed, DataCenterName dataCenter, boolean reclaimable) {
 		return (int) listed.stream()
-			.filter((entry) -> entry.zone().equals(dataCenter) && entry.reclaimable() == reclaimable
+			.filter((entry) -> entry.dataCenter().equals(dataCenter) && entry.reclaimable() == reclaimable
 					&& !entry.draining())
 			.count();
 	}
@@ -215,12 +216,13 @@
 		for (DataCenterName dataCenter : dataCenters) {
 			int existing = Math.max(running(listed, dataCenter, false),
 					this.onDemandOrdered.getOrDefault(dataCenter, 0));
-			int count = Math.min(remaining, Math.min(existing, limits.most()));
+			int count = Math.min(remaining, Math.min(existing, limits.maximumEndpoints()));
 			placed.put(dataCenter, count);
 			remaining -= count;
 		}
 		for (DataCenterName dataCenter : dataCenters) {
-			int room = limits.most() - running(listed, dataCenter, true) - placed.getOrDefault(dataCenter, 0);
+			int room = limits.maximumEndpoints() - running(listed, dataCenter, true)
+					- placed.getOrDefault(dataCenter, 0);
 			int count = Math.clamp(room, 0, remaining);
 			placed.merge(dataCenter, count, Integer::sum);
 			remaining -= count;
@@ -231,11 +233,11 @@
 	/**
 	 * The desired number of endpoints of a kind in a data centre.
 	 *
-	 * @param zone the data centre
+	 * @param dataCenter the data centre
 	 * @param reclaimable whether the endpoints are reclaimable or on-demand
 	 * @param count the desired number of endpoints
 	 */
-	public record Order(DataCenterName zone, boolean reclaimable, int count) {
+	public record CapacityOrder(DataCenterName dataCenter, boolean reclaimable, int count) {
 	}
 
 }
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsagePlan.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/duty/UsageReportPlanner.java
@@ -13,7 +13,7 @@
  * reported its counts. It is recorded with the lease before it is sent, so that a
  * successor sends identical counts.
  */
-public final class UsagePlan {
+public final class UsageReportPlanner {
 
 	/**
 	 * Delay from the end of a window until its counts are final: several times the
@@ -29,12 +29,12 @@
 	private final long firstWindow;
 
 	/**
-	 * Creates a plan.
+	 * Creates a planner.
 	 * @param windows the counter that numbers the windows
 	 * @param start the time at which this process started; it has no counts of earlier
 	 * windows
 	 */
-	public UsagePlan(UsageCounter windows, Instant start) {
+	public UsageReportPlanner(UsageCounter windows, Instant start) {
 		this.windows = windows;
 		this.firstWindow = windows.windowOf(start);
 	}
@@ -46,7 +46,8 @@
 	 * @param reportOfWindow returns the report of a window by its number
 	 * @return the reports, the oldest first
 	 */
-	public List<UsageReport> toName(List<UsageReport> recorded, Instant now, LongFunction<UsageReport> reportOfWindow) {
+	public List<UsageReport> reportsToRecord(List<UsageReport> recorded, Instant now,
+			LongFunction<UsageReport> reportOfWindow) {
 		long lastFinal = this.windows.windowOf(now.minus(SETTLING_DELAY)) - 1;
 		long next = recorded.isEmpty() ? this.firstWindow : recorded.getLast().window() + 1;
 		next = Math.max(next, lastFinal - MAXIMUM_REPORTS + 1);
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/endpoint/EndpointTable.java
@@ -39,16 +39,16 @@
 
 	private final Map<ServiceName, PrefillLatency> prefillLatencies = new HashMap<>();
 
-	private final RateLimitAllotment rateLimitAllotment;
+	private final RateLimitAllocation rateLimitAllocation;
 
 	private @Nullable Configuration configuration;
 
 	/**
 	 * Creates the table.
-	 * @param rateLimitAllotment allocates the rate limits of endpoints to the gateways
+	 * @param rateLimitAllocation allocates the rate limits of endpoints to the gateways
 	 */
-	public EndpointTable(RateLimitAllotment rateLimitAllotment) {
-		this.rateLimitAllotment = rateLimitAllotment;
+	public EndpointTable(RateLimitAllocation rateLimitAllocation) {
+		this.rateLimitAllocation = rateLimitAllocation;
 	}
 
 	/**
@@ -82,7 +82,7 @@
 		else {
 			Endpoint added = new Endpoint(entry, null,
 					this.prefillLatencies.computeIfAbsent(entry.service(), (service) -> new PrefillLatency()),
-					this.rateLimitAllotment);
+					this.rateLimitAllocation);
 			applyConfiguration(added);
 			this.endpoints.put(entry.id(), added);
 		}
@@ -127,7 +127,7 @@
 	 * @param now the current time
 	 * @return the identifiers of the removed endpoints
 	 */
-	public List<EndpointId> expire(long now) {
+	public List<EndpointId> removeExpired(long now) {
 		List<EndpointId> expired = new ArrayList<>();
 		for (Endpoint endpoint : this.endpoints.values()) {
 			Long unlistedAt = endpoint.unlistedAt();
@@ -144,7 +144,7 @@
 	 * @param service the service
 	 * @return its endpoints, draining ones included
 	 */
-	public List<Endpoint> listed(ServiceName service) {
+	public List<Endpoint> endpointsOf(ServiceName service) {
 		return this.byService.computeIfAbsent(service, this::findByService);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Attempt.java
@@ -15,7 +15,7 @@
 /**
  * One attempt to send a request to an endpoint.
  */
-final class Attempt implements AnswerListener {
+final class Attempt implements ResponseListener {
 
 	/** A non-streaming response is buffered until it is known to be valid. */
 	private static final int MAXIMUM_BUFFERED_BYTES = 16 << 20;
@@ -56,9 +56,9 @@
 		this.predictedMillis = placement.predictedMillis();
 		this.number = number;
 		this.sentAt = sentAt;
-		this.tokensAhead = this.endpoint.queuedTokens();
+		this.tokensAhead = this.endpoint.totalPendingPrefillTokens();
 		this.prefillTokens = placement.prefillTokens();
-		this.endpoint.sent(exchange.prompt(), this.prefillTokens);
+		this.endpoint.requestSent(exchange.prompt(), this.prefillTokens);
 		this.endpoint.rateLimiter().sent(sentAt);
 	}
 
@@ -90,8 +90,8 @@
 		return Duration.ofNanos(this.exchange.now() - this.sentAt);
 	}
 
-	RequestLog.AttemptFacts describe() {
-		return new RequestLog.AttemptFacts(this.exchange.requestId(), this.endpoint.id().value(), this.number,
+	RequestLog.FailedAttempt describe() {
+		return new RequestLog.FailedAttempt(this.exchange.requestId(), this.endpoint.id().value(), this.number,
 				this.predictedMillis, elapsed());
 	}
 
@@ -111,7 +111,8 @@
 		if (!this.prefillCompleted) {
 			completePrefill();
 			this.timeToFirstEvent = elapsed();
-			this.endpoint.firstToken(this.timeToFirstEvent, this.tokensAhead + this.prefillTokens, this.exchange.now());
+			this.endpoint.recordTimeToFirstToken(this.timeToFirstEvent, this.tokensAhead + this.prefillTokens,
+					this.exchange.now());
 		}
 	}
 
@@ -132,7 +133,7 @@
 	private void completePrefill() {
 		if (!this.prefillCompleted) {
 			this.prefillCompleted = true;
-			this.endpoint.promptRead(this.prefillTokens);
+			this.endpoint.prefillCompleted(this.prefillTokens);
 		}
 	}
 
@@ -140,7 +141,7 @@
 		if (!this.finished) {
 			this.finished = true;
 			completePrefill();
-			this.endpoint.left();
+			this.endpoint.requestCompleted();
 		}
 	}
 
@@ -158,7 +159,7 @@
 		this.head = response;
 		this.responseHeaders = headers;
 		if (headers.load() != null) {
-			this.endpoint.reported(headers.load(), this.exchange.now());
+			this.endpoint.updateLoad(headers.load(), this.exchange.now());
 		}
 		// A response that the endpoint did not produce itself is no evidence that a limit
 		// has been lifted.
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/SharedTopics.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicStore.java
@@ -11,7 +11,7 @@
  * Futures complete on the event loop thread. If one completes exceptionally, the outcome
  * of the call is unknown.
  */
-public interface SharedTopics {
+public interface TopicStore {
 
 	/**
 	 * Reads the latest record of each key.
@@ -19,7 +19,7 @@
 	 * @param afterKey the key after which to continue, or {@code null} for the first page
 	 * @return a page of records
 	 */
-	CompletableFuture<TopicPage> newest(Topic topic, @Nullable String afterKey);
+	CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String afterKey);
 
 	/**
 	 * Reads the records appended from an offset on.
@@ -28,7 +28,7 @@
 	 * @param maximumWait how long the store may wait for new records (long polling)
 	 * @return a page of records; empty if there are no new ones
 	 */
-	CompletableFuture<TopicPage> changes(Topic topic, long fromOffset, Duration maximumWait);
+	CompletableFuture<TopicPage> readChanges(Topic topic, long fromOffset, Duration maximumWait);
 
 	/**
 	 * Appends a record.
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/DrainingPropagationTests.java
@@ -30,15 +30,15 @@
 import org.banyancove.gateway.endpoint.Endpoint;
 import org.banyancove.gateway.endpoint.EndpointEntry;
 import org.banyancove.gateway.endpoint.EndpointTable;
-import org.banyancove.gateway.endpoint.RateLimitAllotment;
+import org.banyancove.gateway.endpoint.RateLimitAllocation;
 import org.banyancove.gateway.rollout.Rollout;
 import org.banyancove.gateway.rollout.RolloutOrder;
 import org.banyancove.gateway.shared.AppendOutcome;
 import org.banyancove.gateway.shared.RecordCodec;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -150,7 +150,7 @@
 	}
 
 	private List<Node> aggregators() {
-		return this.fleet.stream().filter((node) -> node.view.aggregates()).toList();
+		return this.fleet.stream().filter((node) -> node.view.aggregator()).toList();
 	}
 
 	// Returns how long the given gateways may have sent requests to the draining
@@ -257,7 +257,7 @@
 	/**
 	 * A gateway without callers and sockets.
 	 */
-	private final class Node implements PeerTransport, SharedTopics {
+	private final class Node implements PeerTransport, TopicStore {
 
 		private static final int TICK_MILLIS = 200;
 
@@ -276,7 +276,7 @@
 		private final ReadDelegation delegation;
 
 		private final EndpointTable endpoints = new EndpointTable(
-				new RateLimitAllotment("gateway", () -> List.of("gateway")));
+				new RateLimitAllocation("gateway", () -> List.of("gateway")));
 
 		private final SharedStateFollower sharedState;
 
@@ -313,7 +313,7 @@
 					}, (records) -> this.sharedState().applyRelayed(records));
 			this.sharedState = new SharedStateFollower(this, this.channel.eventLoop(),
 					() -> DrainingPropagationTests.this.now, new StateRecordCodec(), this.endpoints,
-					this.delegation::delegatesSharedState, () -> Duration.ofMillis(this.view.aggregates() ? 250 : 2000),
+					this.delegation::delegatesSharedState, () -> Duration.ofMillis(this.view.aggregator() ? 250 : 2000),
 					this.exchange::relay, this.exchange::forward, (configuration) -> {
 					}, (order) -> false, DRAIN_TIME);
 			this.reportAt = Duration.ofMillis(DrainingPropagationTests.this.random.nextInt(400)).toNanos();
@@ -356,7 +356,7 @@
 				this.table.expire(time);
 				this.view = this.table.view(time);
 				this.delegation.update(this.view);
-				this.sharedState.reconcile(this.view.known(), time);
+				this.sharedState.reconcile(this.view.sharedState(), time);
 			}
 		}
 
@@ -376,16 +376,16 @@
 
 		private GatewayReport report() {
 			return new GatewayReport(this.incarnation, this.address.dataCenter(), TrafficTotals.NONE, false,
-					this.sharedState.knownState());
+					this.sharedState.sharedStateVersion());
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
+		public CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String after) {
 			return answer(topic, DrainingPropagationTests.this.store.newest());
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
+		public CompletableFuture<TopicPage> readChanges(Topic topic, long from, Duration wait) {
 			return answer(topic,
 					(topic == Topic.ENDPOINTS) ? DrainingPropagationTests.this.store.changes(from) : configuration());
 		}
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/daemon/TopicFollowerTests.java
@@ -11,10 +11,10 @@
 import org.banyancove.core.error.BanyancoveException;
 import org.banyancove.core.error.ErrorKind;
 import org.banyancove.gateway.shared.AppendOutcome;
-import org.banyancove.gateway.shared.SharedTopics;
 import org.banyancove.gateway.shared.Topic;
 import org.banyancove.gateway.shared.TopicPage;
 import org.banyancove.gateway.shared.TopicRecord;
+import org.banyancove.gateway.shared.TopicStore;
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 
@@ -170,8 +170,8 @@
 		}
 	}
 
-	private static TopicPage page(long next, TopicRecord... records) {
-		return new TopicPage(List.of(records), next, null, false);
+	private static TopicPage page(long nextOffset, TopicRecord... records) {
+		return new TopicPage(List.of(records), nextOffset, null, false);
 	}
 
 	private static TopicRecord entry(long offset, String key, @Nullable String value) {
@@ -181,7 +181,7 @@
 	/**
 	 * A store that returns scripted pages, and then empty ones.
 	 */
-	private static final class ScriptedTopics implements SharedTopics {
+	private static final class ScriptedTopics implements TopicStore {
 
 		private final List<TopicPage> newest = new ArrayList<>();
 
@@ -190,12 +190,12 @@
 		private final List<Long> requestedOffsets = new ArrayList<>();
 
 		@Override
-		public CompletableFuture<TopicPage> newest(Topic topic, @Nullable String after) {
+		public CompletableFuture<TopicPage> readLatest(Topic topic, @Nullable String after) {
 			return CompletableFuture.completedFuture(this.newest.removeFirst());
 		}
 
 		@Override
-		public CompletableFuture<TopicPage> changes(Topic topic, long from, Duration wait) {
+		public CompletableFuture<TopicPage> readChanges(Topic topic, long from, Duration wait) {
 			this.requestedOffsets.add(from);
 			if (this.changes.isEmpty()) {
 				return CompletableFuture.completedFuture(page(from));
--- a/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
+++ b/banyancove-gateway/src/test/java/org/banyancove/gateway/duty/ScalingPolicyTests.java
@@ -53,9 +53,9 @@
 		decide(listed(0, 2), 1900, 0);
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 2, true);
-		List<ScalingPolicy.Order> orders = decide(remaining, 1900, 1);
+		List<ScalingPolicy.CapacityOrder> orders = decide(remaining, 1900, 1);
 		assertThat(total(orders, false)).isEqualTo(4);
-		assertThat(orders).filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
+		assertThat(orders).filteredOn((order) -> order.dataCenter().equals(CHEAP) && order.reclaimable())
 			.singleElement()
 			.satisfies((order) -> assertThat(order.count()).isGreaterThanOrEqualTo(2));
 	}
@@ -79,7 +79,7 @@
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 5, true);
 		assertThat(decide(remaining, 100, false, 0))
-			.filteredOn((order) -> order.zone().equals(CHEAP) && order.reclaimable())
+			.filteredOn((order) -> order.dataCenter().equals(CHEAP) && order.reclaimable())
 			.singleElement()
 			.satisfies((order) -> assertThat(order.count()).isEqualTo(5));
 	}
@@ -109,10 +109,10 @@
 	void onDemandEndpointsAtMaximumAreReplacedByReclaimableOnes() {
 		List<EndpointEntry> listed = listed(6, 0);
 		for (int second = 0; second < 12; second++) {
-			List<ScalingPolicy.Order> orders = decide(listed, 6000, true, second);
+			List<ScalingPolicy.CapacityOrder> orders = decide(listed, 6000, true, second);
 			listed = new ArrayList<>();
-			for (ScalingPolicy.Order order : orders) {
-				add(listed, order.zone(), order.count(), order.reclaimable());
+			for (ScalingPolicy.CapacityOrder order : orders) {
+				add(listed, order.dataCenter(), order.count(), order.reclaimable());
 			}
 			assertThat(listed).hasSizeGreaterThanOrEqualTo(10);
 		}
@@ -145,8 +145,9 @@
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 3, true);
 		add(remaining, MIDDLE, 3, true);
-		assertThat(decide(remaining, 4700, true, 1)).isNotEmpty().noneMatch((order) -> order.zone().equals(EXPENSIVE));
-		assertThat(decide(remaining, 4700, true, 30)).anyMatch((order) -> order.zone().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 1)).isNotEmpty()
+			.noneMatch((order) -> order.dataCenter().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 30)).anyMatch((order) -> order.dataCenter().equals(EXPENSIVE));
 	}
 
 	@Test
@@ -158,7 +159,7 @@
 		decide(leaving, 4700, true, 0);
 		List<EndpointEntry> remaining = new ArrayList<>();
 		add(remaining, CHEAP, 3, true);
-		assertThat(decide(remaining, 4700, true, 1)).anyMatch((order) -> order.zone().equals(EXPENSIVE));
+		assertThat(decide(remaining, 4700, true, 1)).anyMatch((order) -> order.dataCenter().equals(EXPENSIVE));
 	}
 
 	// Guards against a fleet that is scaled down before its first request. It starts
@@ -166,7 +167,7 @@
 	// ones must run when requests arrive.
 	@Test
 	void initialCapacityIsKeptBeforeFirstRequest() {
-		List<ScalingPolicy.Order> first = decide(listed(5, 0), 0, 0);
+		List<ScalingPolicy.CapacityOrder> first = decide(listed(5, 0), 0, 0);
 		assertThat(total(first, true)).isGreaterThanOrEqualTo(15);
 		assertThat(total(decide(listed(0, 5), 0, true, 15), true)).isGreaterThanOrEqualTo(15);
 		assertThat(total(decide(listed(0, 5), 1000, true, 40), true)).isLessThan(15);
@@ -177,7 +178,7 @@
 	// the slots would be used.
 	@Test
 	void onDemandEndpointsUseMostOfTheirSlots() {
-		List<ScalingPolicy.Order> orders = this.policy.decide(LIMITS, listed(2, 0), 1000, 200, false, 0);
+		List<ScalingPolicy.CapacityOrder> orders = this.policy.decide(LIMITS, listed(2, 0), 1000, 200, false, 0);
 		assertThat(total(orders, false)).isBetween(200 / 64, 2 * 200 / 64);
 	}
 
@@ -191,34 +192,36 @@
 	@Test
 	void observesMinimumAndMaximumPerDataCenter() {
 		for (int demand = 0; demand < 40_000; demand += 1000) {
-			List<ScalingPolicy.Order> orders = new ScalingPolicy().decide(LIMITS, listed(1, 2), demand, 0, true, 0);
+			List<ScalingPolicy.CapacityOrder> orders = new ScalingPolicy().decide(LIMITS, listed(1, 2), demand, 0, true,
+					0);
 			for (DataCenterName dataCenter : List.of(CHEAP, MIDDLE, EXPENSIVE)) {
 				int total = orders.stream()
-					.filter((order) -> order.zone().equals(dataCenter))
-					.mapToInt(ScalingPolicy.Order::count)
+					.filter((order) -> order.dataCenter().equals(dataCenter))
+					.mapToInt(ScalingPolicy.CapacityOrder::count)
 					.sum();
-				assertThat(total).as("demand %s", demand).isBetween(LIMITS.fewest(), LIMITS.most());
+				assertThat(total).as("demand %s", demand)
+					.isBetween(LIMITS.minimumEndpoints(), LIMITS.maximumEndpoints());
 			}
 		}
 	}
 
-	private static int onDemandIn(DataCenterName dataCenter, List<ScalingPolicy.Order> orders) {
-		return total(orders.stream().filter((order) -> order.zone().equals(dataCenter)).toList(), false);
+	private static int onDemandIn(DataCenterName dataCenter, List<ScalingPolicy.CapacityOrder> orders) {
+		return total(orders.stream().filter((order) -> order.dataCenter().equals(dataCenter)).toList(), false);
 	}
 
-	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double demand, long second) {
+	private List<ScalingPolicy.CapacityOrder> decide(List<EndpointEntry> listed, double demand, long second) {
 		return decide(listed, demand, false, second);
 	}
 
-	private List<ScalingPolicy.Order> decide(List<EndpointEntry> listed, double demand, boolean reclaimableAvailable,
-			long second) {
+	private List<ScalingPolicy.CapacityOrder> decide(List<EndpointEntry> listed, double demand,
+			boolean reclaimableAvailable, long second) {
 		return this.policy.decide(LIMITS, listed, demand, 0, reclaimableAvailable, second * SECOND);
 	}
 
-	private static int total(List<ScalingPolicy.Order> orders, boolean reclaimable) {
+	private static int total(List<ScalingPolicy.CapacityOrder> orders, boolean reclaimable) {
 		return orders.stream()
 			.filter((order) -> order.reclaimable() == reclaimable)
-			.mapToInt(ScalingPolicy.Order::count)
+			.mapToInt(ScalingPolicy.CapacityOrder::count)
 			.sum();
 	}
 
