--- a/banyancove-core/src/main/java/org/banyancove/core/membership/DigestExchange.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/DigestExchange.java
@@ -14,8 +14,8 @@
 import org.banyancove.core.peer.PeerState;
 
 /**
- * Finds by digests that another process believes something else, and asks for what
- * differs.
+ * Anti-entropy by digests: detects that a peer's membership list differs from the own one
+ * and requests the differing states.
  */
 final class DigestExchange {
 
@@ -35,29 +35,30 @@
 		this.port = port;
 	}
 
-	// Asks for a data center's peers when the sender's digest and the own one have
-	// differed for some rounds in which neither changed. A difference right after a
-	// change says only that the news is still on its way.
+	// Requests states when the sender's digest and the local one have differed for some
+	// rounds in which neither changed. A difference right after a change only shows
+	// that the change is still being disseminated.
 	void compare(PeerMessage.Heartbeat heartbeat, PeerState sender) {
-		long own = digestFor(sender.dataCenter());
-		if (own == heartbeat.membershipDigest()) {
+		long local = digestFor(sender.dataCenter());
+		if (local == heartbeat.membershipDigest()) {
 			this.comparisons.remove(heartbeat.from());
 			return;
 		}
 		DigestComparison last = this.comparisons.get(heartbeat.from());
 		int rounds = 1;
-		if (last != null && last.own == own && last.theirs == heartbeat.membershipDigest()) {
+		if (last != null && last.local == local && last.remote == heartbeat.membershipDigest()) {
 			rounds = last.rounds + 1;
 		}
 		if (rounds >= STABLE_ROUNDS) {
 			rounds = 0;
 			this.port.send(sender.address(), request());
 		}
-		this.comparisons.put(heartbeat.from(), new DigestComparison(own, heartbeat.membershipDigest(), rounds));
+		this.comparisons.put(heartbeat.from(), new DigestComparison(local, heartbeat.membershipDigest(), rounds));
 	}
 
-	// Digests by data center keep the answer to what differs. Asking for one data center
-	// by guess took 4.4 KB a second from each of 806 processes, over the 3 KB allowed.
+	// Digests by data center limit the response to the differing states. Requesting one
+	// data center at random took 4.4 KB per second from each of 806 processes, over
+	// the limit of 3 KB.
 	PeerMessage.MembershipRequest request() {
 		return new PeerMessage.MembershipRequest(this.self.incarnation(),
 				this.table.dataCenters()
@@ -67,23 +68,24 @@
 	}
 
 	void answer(PeerMessage.MembershipRequest request) {
-		PeerState asker = this.table.find(request.from());
-		if (asker == null) {
+		PeerState requester = this.table.find(request.from());
+		if (requester == null) {
 			return;
 		}
-		Map<DataCenterName, Long> theirs = new HashMap<>();
-		request.digests().forEach((digest) -> theirs.put(digest.dataCenter(), digest.digest()));
+		Map<DataCenterName, Long> remoteDigests = new HashMap<>();
+		request.digests().forEach((digest) -> remoteDigests.put(digest.dataCenter(), digest.digest()));
 		List<PeerState> differing = this.table.entities()
 			.stream()
 			.map(PeerEntity::state)
-			.filter((state) -> !Objects.equals(theirs.get(state.dataCenter()), this.table.digest(state.dataCenter())))
+			.filter((state) -> !Objects.equals(remoteDigests.get(state.dataCenter()),
+					this.table.digest(state.dataCenter())))
 			.toList();
 		if (!differing.isEmpty()) {
-			this.port.send(asker.address(), new PeerMessage.MembershipState(this.self.incarnation(), differing));
+			this.port.send(requester.address(), new PeerMessage.MembershipState(this.self.incarnation(), differing));
 		}
 	}
 
-	void forget(Collection<Incarnation> peers) {
+	void remove(Collection<Incarnation> peers) {
 		peers.forEach(this.comparisons::remove);
 	}
 
@@ -94,7 +96,7 @@
 		return this.table.digest(dataCenter);
 	}
 
-	private record DigestComparison(long own, long theirs, int rounds) {
+	private record DigestComparison(long local, long remote, int rounds) {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/FailureDetector.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/FailureDetector.java
@@ -12,12 +12,12 @@
 import org.banyancove.core.peer.PeerStatus;
 
 /**
- * Probes neighbors that fall silent, suspects those that stay so, and believes a
- * suspicion that nobody refutes.
+ * Detects failed peers: probes monitored neighbors that are silent, suspects those that
+ * stay silent, and declares those dead whose suspicion is not refuted.
  */
 final class FailureDetector {
 
-	private final PeerBeliefs beliefs;
+	private final PeerStateMerger peerStates;
 
 	private final PeerTable table;
 
@@ -27,18 +27,18 @@
 
 	private final PeerPort port;
 
-	FailureDetector(PeerBeliefs beliefs, PeerTable table, MembershipSettings settings, Neighborhood neighborhood,
+	FailureDetector(PeerStateMerger peerStates, PeerTable table, MembershipSettings settings, Neighborhood neighborhood,
 			PeerPort port) {
-		this.beliefs = beliefs;
+		this.peerStates = peerStates;
 		this.table = table;
 		this.settings = settings;
 		this.neighborhood = neighborhood;
 		this.port = port;
 	}
 
-	void suspectTheSilent(Instant now) {
+	void suspectSilentPeers(Instant now) {
 		Instant limit = now.minus(this.settings.suspicionTimeout());
-		for (Incarnation each : List.copyOf(this.neighborhood.watched())) {
+		for (Incarnation each : List.copyOf(this.neighborhood.monitored())) {
 			PeerEntity peer = this.table.entity(each);
 			if (peer == null || peer.state().status().compareTo(PeerStatus.SUSPECTED) >= 0) {
 				continue;
@@ -50,15 +50,16 @@
 		}
 	}
 
-	// When a whole data center ends without notice, nobody in it is left to say so, and
-	// its requests would wait at their holders for ever. Its relays' silence is then the
-	// only sign. A cut looks the same: its requests are then run twice, which the
-	// ownership numbers make harmless, and its processes are met again after the cut.
+	// When all processes of a data center fail at once, none of them can report it, and
+	// its requests would wait at their holders indefinitely. The silence of its relays
+	// is the only symptom. A network partition looks the same: the requests then run
+	// twice, which the ownership numbers make harmless, and the processes rejoin after
+	// the partition.
 	void suspectSilentDataCenters(Instant now) {
 		Instant limit = now.minus(this.settings.suspicionTimeout().multipliedBy(2));
 		List<PeerState> suspected = new ArrayList<>();
 		for (DataCenterName dataCenter : this.neighborhood.relayedDataCenters()) {
-			if (this.neighborhood.heardAt(dataCenter, now).isBefore(limit)) {
+			if (this.neighborhood.lastContactAt(dataCenter, now).isBefore(limit)) {
 				this.table.living(dataCenter)
 					.stream()
 					.filter((peer) -> peer.status() != PeerStatus.SUSPECTED)
@@ -67,48 +68,49 @@
 			}
 		}
 		if (!suspected.isEmpty()) {
-			suspected.forEach(this.beliefs::learn);
-			this.neighborhood.send(new PeerMessage.MembershipState(this.beliefs.self().incarnation(), suspected));
+			suspected.forEach(this.peerStates::merge);
+			this.neighborhood.send(new PeerMessage.MembershipState(this.peerStates.self().incarnation(), suspected));
 		}
 	}
 
-	// While the views of two processes differ, one may wait for heartbeats that the other
-	// does not know it owes. The symptom without this is a wave of false suspicions when
-	// many start at once. A probe is answered whatever the other's view is.
-	void probeTheSilent(Instant now) {
+	// While the membership lists of two processes differ, one may expect heartbeats that
+	// the other does not send. Without probes this causes many false suspicions when
+	// many processes start at once. A probe is answered regardless of the receiver's
+	// membership list.
+	void probeSilentPeers(Instant now) {
 		Instant limit = now.minus(this.settings.suspicionTimeout().dividedBy(2));
-		for (Incarnation each : this.neighborhood.watched()) {
+		for (Incarnation each : this.neighborhood.monitored()) {
 			PeerEntity peer = this.table.entity(each);
 			Instant silentSince = (peer != null) ? peer.silentSince() : null;
 			if (peer != null && silentSince != null && silentSince.isBefore(limit)) {
-				this.port.send(peer.state().address(),
-						new PeerMessage.Probe(this.beliefs.self().incarnation(), this.beliefs.self().address(), false));
+				this.port.send(peer.state().address(), new PeerMessage.Probe(this.peerStates.self().incarnation(),
+						this.peerStates.self().address(), false));
 			}
 		}
 	}
 
-	void buryTheSuspected(Instant now) {
+	void declareSuspectedDead(Instant now) {
 		Instant limit = now.minus(this.settings.deathTimeout());
-		List<PeerState> buried = new ArrayList<>();
+		List<PeerState> dead = new ArrayList<>();
 		for (PeerEntity peer : this.table.entities()) {
 			if (peer.state().status() == PeerStatus.SUSPECTED && peer.changedAt().isBefore(limit)) {
-				buried.add(peer.state().withStatus(PeerStatus.DEAD));
+				dead.add(peer.state().withStatus(PeerStatus.DEAD));
 			}
 		}
-		buried.forEach(this.beliefs::learn);
+		dead.forEach(this.peerStates::merge);
 	}
 
 	void receive(PeerMessage.Probe probe) {
 		if (!probe.answer()) {
-			this.port.send(probe.address(),
-					new PeerMessage.Probe(this.beliefs.self().incarnation(), this.beliefs.self().address(), true));
+			this.port.send(probe.address(), new PeerMessage.Probe(this.peerStates.self().incarnation(),
+					this.peerStates.self().address(), true));
 		}
 	}
 
 	private void suspect(PeerState peer) {
 		PeerState suspected = peer.withStatus(PeerStatus.SUSPECTED);
-		this.beliefs.learn(suspected);
-		PeerMessage message = new PeerMessage.MembershipState(this.beliefs.self().incarnation(), List.of(suspected));
+		this.peerStates.merge(suspected);
+		PeerMessage message = new PeerMessage.MembershipState(this.peerStates.self().incarnation(), List.of(suspected));
 		this.neighborhood.send(message);
 		this.port.send(peer.address(), message);
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/HeartbeatSource.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/HeartbeatSource.java
@@ -6,37 +6,37 @@
 import org.banyancove.core.peer.EndpointLoad;
 
 /**
- * Gives what a heartbeat tells about its sender. Called on the tick thread, once for each
- * round of heartbeats.
+ * Provides the content of a process's heartbeats. Called on the tick thread, once for
+ * each round of heartbeats.
  */
 public interface HeartbeatSource {
 
 	/**
-	 * Returns the offset up to which the profiles are read.
+	 * Returns the offset up to which the profiles were read.
 	 * @return the offset after the last record, or -1 if none was read
 	 */
 	long configurationOffset();
 
 	/**
-	 * Returns the offset up to which each slot of keys is read.
-	 * @return an offset for each slot
+	 * Returns the offset up to which each key slot was read.
+	 * @return one offset for each slot
 	 */
 	List<Long> keySlotOffsets();
 
 	/**
-	 * Takes what was sent to endpoints since the last call.
-	 * @return the loads; those with the most tokens are sent on, within a bound
+	 * Removes and returns the load sent to endpoints since the last call.
+	 * @return the loads; a bounded number of those with the most tokens is sent
 	 */
 	List<EndpointLoad> takeSent();
 
 	/**
-	 * Returns the endpoints known to be leaving.
-	 * @return the endpoints; the first of them are sent on, within a bound
+	 * Returns the leaving endpoints.
+	 * @return the endpoints; a bounded number of the first ones is sent
 	 */
 	List<EndpointId> leavingEndpoints();
 
 	/**
-	 * Returns a digest over the suspected fingerprints.
+	 * Returns a digest of the suspected fingerprints.
 	 * @return the digest
 	 */
 	long suspectsDigest();
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipListener.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipListener.java
@@ -4,26 +4,26 @@
 import org.banyancove.core.peer.PeerState;
 
 /**
- * Hears what membership learns. Called on the tick thread.
+ * Receives membership events. Called on the tick thread.
  */
 public interface MembershipListener {
 
 	/**
-	 * A process was heard of for the first time, or again after it was believed dead.
+	 * A process joined, or rejoined after it was declared dead.
 	 * @param peer the process
 	 */
 	default void joined(PeerState peer) {
 	}
 
 	/**
-	 * A process is leaving: it takes no new work.
+	 * A process is leaving and accepts no new work.
 	 * @param peer the process
 	 */
 	default void leaving(PeerState peer) {
 	}
 
 	/**
-	 * A process is believed dead.
+	 * A process was declared dead.
 	 * @param peer the process
 	 */
 	default void died(PeerState peer) {
@@ -37,15 +37,15 @@
 	}
 
 	/**
-	 * Something is known of a fingerprint. Called once for each fingerprint, endpoint and
-	 * verdict.
+	 * A verdict on a fingerprint was reported. Called once for each fingerprint, endpoint
+	 * and verdict.
 	 * @param notice the notice
 	 */
 	default void suspect(PeerMessage.SuspectNotice notice) {
 	}
 
 	/**
-	 * A heartbeat came in.
+	 * A heartbeat was received.
 	 * @param heartbeat the heartbeat
 	 */
 	default void heartbeat(PeerMessage.Heartbeat heartbeat) {
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipSystem.java
@@ -21,10 +21,11 @@
 import org.banyancove.core.peer.PeerStatus;
 
 /**
- * Keeps the {@link PeerTable}: sends heartbeats in rounds and passes messages to the
- * parts that each do one thing. {@link PeerBeliefs} decides what is believed,
- * {@link Neighborhood} whom it is told, {@link FailureDetector} who is dead, and
- * {@link DigestExchange} what was missed. Used by the entry's tick thread only.
+ * Gossip-based group membership of the entry processes. Maintains the {@link PeerTable},
+ * sends periodic heartbeats and dispatches the messages that it receives:
+ * {@link PeerStateMerger} resolves conflicting states, {@link Neighborhood} selects the
+ * peers that receive messages, {@link FailureDetector} detects failed peers, and
+ * {@link DigestExchange} requests missed updates. Used by the entry's tick thread only.
  */
 public final class MembershipSystem {
 
@@ -44,34 +45,34 @@
 
 	private final MembershipListener listener;
 
-	private final PeerBeliefs beliefs;
+	private final PeerStateMerger peerStates;
 
 	private final Neighborhood neighborhood;
 
-	private final FailureDetector failures;
+	private final FailureDetector failureDetector;
 
 	private final DigestExchange digests;
 
-	private final SeedContacts seeds;
+	private final SeedAddresses seeds;
 
 	private final SeenNotices notices;
 
-	private final JoinWait joinWait;
+	private final JoinDeadline joinDeadline;
 
 	private Instant nextRound;
 
 	private long sequence;
 
 	/**
-	 * Creates the system and puts this process into the table.
+	 * Creates the system and adds this process to the table.
 	 * @param self this process
-	 * @param table the table to keep
+	 * @param table the table to maintain
 	 * @param clock the clock
-	 * @param settings times and bounds
-	 * @param random the source of jitter and choice
-	 * @param source what heartbeats tell
+	 * @param settings the timeouts and bounds
+	 * @param random the random generator for jitter and peer selection
+	 * @param source provides the content of heartbeats
 	 * @param port sends messages
-	 * @param listener hears of changes
+	 * @param listener receives membership events
 	 */
 	public MembershipSystem(PeerState self, PeerTable table, InstantSource clock, MembershipSettings settings,
 			RandomGenerator random, HeartbeatSource source, PeerPort port, MembershipListener listener) {
@@ -82,31 +83,31 @@
 		this.source = source;
 		this.port = port;
 		this.listener = listener;
-		this.joinWait = new JoinWait(table, clock);
-		this.beliefs = new PeerBeliefs(self, table, clock, settings, listener, this.joinWait);
+		this.joinDeadline = new JoinDeadline(table, clock);
+		this.peerStates = new PeerStateMerger(self, table, clock, settings, listener, this.joinDeadline);
 		this.neighborhood = new Neighborhood(self, table, clock, settings, port);
-		this.failures = new FailureDetector(this.beliefs, table, settings, this.neighborhood, port);
+		this.failureDetector = new FailureDetector(this.peerStates, table, settings, this.neighborhood, port);
 		this.digests = new DigestExchange(self, table, port);
-		this.seeds = new SeedContacts(table, random);
+		this.seeds = new SeedAddresses(table, random);
 		this.notices = new SeenNotices(clock);
 		this.nextRound = clock.instant();
 	}
 
 	/**
-	 * Returns this process as it states itself.
+	 * Returns the state that this process reports of itself.
 	 * @return this process's state
 	 */
 	public PeerState self() {
-		return this.beliefs.self();
+		return this.peerStates.self();
 	}
 
 	/**
-	 * Takes the addresses at which peers may be: those of the settings and of the
-	 * platform's list, which lags. Earlier ones are forgotten.
-	 * @param newSeeds the addresses, this process's own among them or not
+	 * Replaces the addresses of possible peers: those of the settings and of the
+	 * platform's list, which may be outdated.
+	 * @param newSeeds the addresses, with or without this process's own
 	 */
 	public void setSeeds(List<PeerSeed> newSeeds) {
-		this.seeds.set(newSeeds, self().address());
+		this.seeds.replace(newSeeds, self().address());
 		Set<VmId> leavingVms = new HashSet<>();
 		for (PeerSeed seed : newSeeds) {
 			VmId vm = seed.vm();
@@ -116,53 +117,54 @@
 		}
 		for (PeerState peer : this.table.living()) {
 			if (leavingVms.contains(peer.incarnation().vm())) {
-				this.beliefs.learn(peer.withStatus(PeerStatus.LEAVING));
+				this.peerStates.merge(peer.withStatus(PeerStatus.LEAVING));
 			}
 		}
 		if (!this.seeds.isEmpty()) {
-			this.joinWait.begin();
+			this.joinDeadline.start();
 		}
-		this.joinWait.refresh();
+		this.joinDeadline.refresh();
 	}
 
 	/**
-	 * Sends what is due and lets time pass for the silent and the dead.
+	 * Sends due heartbeats and probes, and applies the timeouts of silent, suspected and
+	 * dead peers.
 	 */
 	public void tick() {
 		Instant now = this.clock.instant();
-		this.joinWait.refresh();
+		this.joinDeadline.refresh();
 		this.neighborhood.refresh(now);
-		this.failures.suspectTheSilent(now);
-		this.failures.suspectSilentDataCenters(now);
+		this.failureDetector.suspectSilentPeers(now);
+		this.failureDetector.suspectSilentDataCenters(now);
 		if (now.isBefore(this.nextRound)) {
 			return;
 		}
 		this.nextRound = now.plus(jittered(this.settings.heartbeatInterval()));
-		this.failures.buryTheSuspected(now);
-		forgetTheOld(now);
+		this.failureDetector.declareSuspectedDead(now);
+		removeExpired(now);
 		this.neighborhood.refresh(now);
-		this.failures.probeTheSilent(now);
-		sendRound();
+		this.failureDetector.probeSilentPeers(now);
+		sendHeartbeats();
 	}
 
 	/**
-	 * Takes a message.
+	 * Processes a message from a peer.
 	 * @param message the message
-	 * @return whether it was one of membership's
+	 * @return whether it was a membership message
 	 */
 	public boolean receive(PeerMessage message) {
 		PeerEntity sender = this.table.entity(message.from());
 		if (sender != null) {
-			sender.heard(this.clock.instant());
-			this.neighborhood.heard(sender.state().dataCenter(), this.clock.instant());
+			sender.recordContact(this.clock.instant());
+			this.neighborhood.recordContact(sender.state().dataCenter(), this.clock.instant());
 		}
 		switch (message) {
 			case PeerMessage.Heartbeat heartbeat -> receiveHeartbeat(heartbeat);
-			case PeerMessage.Probe probe -> this.failures.receive(probe);
+			case PeerMessage.Probe probe -> this.failureDetector.receive(probe);
 			case PeerMessage.MembershipRequest request -> this.digests.answer(request);
-			case PeerMessage.MembershipState state -> this.beliefs.learnAll(state);
-			case PeerMessage.LeavingNotice notice -> spread(notice);
-			case PeerMessage.SuspectNotice notice -> spread(notice);
+			case PeerMessage.MembershipState state -> this.peerStates.mergeAll(state);
+			case PeerMessage.LeavingNotice notice -> disseminate(notice);
+			case PeerMessage.SuspectNotice notice -> disseminate(notice);
 			default -> {
 				return false;
 			}
@@ -171,41 +173,42 @@
 	}
 
 	/**
-	 * States that this process is leaving.
+	 * Announces that this process is leaving.
 	 */
 	public void leave() {
 		if (self().status() == PeerStatus.ALIVE) {
-			restate(PeerStatus.LEAVING);
+			updateSelf(PeerStatus.LEAVING);
 		}
 	}
 
 	/**
-	 * States that this process ends now, so that nobody waits for it.
+	 * Announces that this process terminates now, so that peers need not wait for a
+	 * timeout.
 	 */
 	public void end() {
-		restate(PeerStatus.DEAD);
+		updateSelf(PeerStatus.DEAD);
 	}
 
 	/**
-	 * Tells peers at once that a VM is about to be reclaimed.
+	 * Notifies peers immediately that a VM is about to be reclaimed.
 	 * @param vm the VM
 	 * @param endpoints the endpoints on it
-	 * @param reclaimAt the time at which the platform takes it
+	 * @param reclaimAt the time at which the platform reclaims it
 	 */
 	public void vmLeaving(VmId vm, List<EndpointId> endpoints, Instant reclaimAt) {
-		spread(new PeerMessage.LeavingNotice(self().incarnation(), vm, endpoints, reclaimAt));
+		disseminate(new PeerMessage.LeavingNotice(self().incarnation(), vm, endpoints, reclaimAt));
 	}
 
 	/**
-	 * Tells peers at once what is known of a fingerprint.
+	 * Notifies peers immediately of the verdict on a fingerprint.
 	 * @param notice the notice
 	 */
 	public void suspect(PeerMessage.SuspectNotice notice) {
-		spread(notice);
+		disseminate(notice);
 	}
 
 	/**
-	 * Tells one peer what is known of a fingerprint.
+	 * Notifies one peer of the verdict on a fingerprint.
 	 * @param peer the peer
 	 * @param notice the notice
 	 */
@@ -217,38 +220,38 @@
 	}
 
 	/**
-	 * Returns the neighbors that this process sends heartbeats to, relays included.
-	 * @return the neighbors
+	 * Returns the peers to which this process sends heartbeats, relays included.
+	 * @return the peers
 	 */
 	public List<PeerState> neighbors() {
 		return this.neighborhood.targets();
 	}
 
 	private void receiveHeartbeat(PeerMessage.Heartbeat heartbeat) {
-		heartbeat.states().forEach(this.beliefs::learn);
+		heartbeat.states().forEach(this.peerStates::merge);
 		PeerEntity sender = this.table.entity(heartbeat.from());
 		if (sender == null) {
 			return;
 		}
 		Instant now = this.clock.instant();
-		sender.heard(now);
+		sender.recordContact(now);
 		PeerState state = sender.state();
 		if (state.status() == PeerStatus.DEAD || state.status() == PeerStatus.SUSPECTED) {
-			// The sender lives but does not know what is said of it. Only its own higher
-			// refutation number can take that back, so it is told.
+			// The sender is alive but unaware of the suspicion. Only a higher refutation
+			// number of its own overrules it, so the state is returned to the sender.
 			this.port.send(state.address(), new PeerMessage.MembershipState(self().incarnation(), List.of(state)));
 		}
 		this.digests.compare(heartbeat, state);
 		this.listener.heartbeat(heartbeat);
 	}
 
-	private void restate(PeerStatus status) {
-		this.beliefs.restate(status);
+	private void updateSelf(PeerStatus status) {
+		this.peerStates.updateSelf(status);
 		this.neighborhood.send(new PeerMessage.MembershipState(self().incarnation(), List.of(self())));
 	}
 
-	private void spread(PeerMessage.LeavingNotice notice) {
-		if (!this.notices.isNews("vm " + notice.vm())) {
+	private void disseminate(PeerMessage.LeavingNotice notice) {
+		if (!this.notices.addIfAbsent("vm " + notice.vm())) {
 			return;
 		}
 		this.listener.vmLeaving(notice);
@@ -256,22 +259,22 @@
 				notice.reclaimAt()));
 		for (PeerState peer : this.table.living()) {
 			if (peer.incarnation().vm().equals(notice.vm()) && peer.status() == PeerStatus.ALIVE) {
-				leaveOrLearn(peer);
+				markLeaving(peer);
 			}
 		}
 	}
 
-	private void leaveOrLearn(PeerState peer) {
+	private void markLeaving(PeerState peer) {
 		if (peer.incarnation().equals(self().incarnation())) {
 			leave();
 		}
 		else {
-			this.beliefs.learn(peer.withStatus(PeerStatus.LEAVING));
+			this.peerStates.merge(peer.withStatus(PeerStatus.LEAVING));
 		}
 	}
 
-	private void spread(PeerMessage.SuspectNotice notice) {
-		if (!this.notices.isNews("suspect " + notice.fingerprint() + notice.verdict() + notice.endpoint())) {
+	private void disseminate(PeerMessage.SuspectNotice notice) {
+		if (!this.notices.addIfAbsent("suspect " + notice.fingerprint() + notice.verdict() + notice.endpoint())) {
 			return;
 		}
 		this.listener.suspect(notice);
@@ -279,58 +282,59 @@
 				notice.verdict(), notice.endpoint(), notice.at()));
 	}
 
-	private void forgetTheOld(Instant now) {
+	private void removeExpired(Instant now) {
 		Instant limit = now.minus(this.settings.retention());
-		List<Incarnation> old = new ArrayList<>();
+		List<Incarnation> expired = new ArrayList<>();
 		for (PeerEntity peer : this.table.entities()) {
-			boolean dead = !peer.state().isLiving() && !peer.state().incarnation().equals(self().incarnation());
-			if (dead && peer.changedAt().isBefore(limit)) {
-				old.add(peer.state().incarnation());
+			boolean removable = !peer.state().isLiving() && !peer.state().incarnation().equals(self().incarnation());
+			if (removable && peer.changedAt().isBefore(limit)) {
+				expired.add(peer.state().incarnation());
 			}
 		}
-		old.forEach(this.table::remove);
-		this.digests.forget(old);
-		this.notices.forgetBefore(limit);
+		expired.forEach(this.table::remove);
+		this.digests.remove(expired);
+		this.notices.removeBefore(limit);
 	}
 
-	private void sendRound() {
+	private void sendHeartbeats() {
 		this.sequence++;
 		List<EndpointLoad> loads = this.source.takeSent()
 			.stream()
 			.sorted(Comparator.comparingLong(EndpointLoad::tokens).reversed())
 			.limit(this.settings.loadsPerHeartbeat())
 			.toList();
-		List<PeerState> states = this.beliefs.takeForRound();
+		List<PeerState> states = this.peerStates.nextUpdates();
 		List<PeerState> targets = this.neighborhood.targets();
 		for (PeerState target : targets) {
 			this.port.send(target.address(), heartbeat(loads, states, target.dataCenter()));
 		}
 		if (this.sequence <= JOINING_ROUNDS && !targets.isEmpty()) {
-			askNeighbor(targets);
+			requestStates(targets);
 		}
-		greetSeeds();
+		contactSeeds();
 	}
 
-	// A process that starts together with many others meets a seed that knows few of
-	// them yet, so it asks some neighbors again while it is new.
-	private void askNeighbor(List<PeerState> targets) {
+	// When many processes start together, the seed has not recorded most of them yet.
+	// A new process hence also requests the states of some neighbors.
+	private void requestStates(List<PeerState> targets) {
 		PeerState neighbor = targets.get(this.random.nextInt(targets.size()));
 		this.port.send(neighbor.address(), this.digests.request());
 	}
 
-	private void greetSeeds() {
+	private void contactSeeds() {
 		for (String address : this.seeds.choose()) {
 			this.port.send(address, heartbeat(List.of(), List.of(self()), self().dataCenter()));
 			this.port.send(address, this.digests.request());
 		}
 	}
 
-	private PeerMessage.Heartbeat heartbeat(List<EndpointLoad> loads, List<PeerState> states, DataCenterName receiver) {
+	private PeerMessage.Heartbeat heartbeat(List<EndpointLoad> loads, List<PeerState> states,
+			DataCenterName targetDataCenter) {
 		List<EndpointId> leaving = this.source.leavingEndpoints();
-		boolean home = receiver.equals(self().dataCenter());
+		boolean sameDataCenter = targetDataCenter.equals(self().dataCenter());
 		long digest = this.table.digest(self().dataCenter());
 		List<EndpointLoad> sent = List.of();
-		if (home) {
+		if (sameDataCenter) {
 			digest = this.table.digest();
 			sent = loads;
 		}
@@ -341,7 +345,8 @@
 	}
 
 	private Duration jittered(Duration interval) {
-		// Up to a tenth earlier, so that processes started together drift apart.
+		// Shortens the interval by up to 10 % so that processes started together do not
+		// send in lockstep.
 		return interval.minusNanos(this.random.nextLong(interval.toNanos() / 10 + 1));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/Neighborhood.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/Neighborhood.java
@@ -16,8 +16,8 @@
 import org.banyancove.core.peer.PeerState;
 
 /**
- * Whom this process sends heartbeats to, and whose heartbeats it is owed. Follows the
- * {@link PeerTable} as it changes.
+ * The peers to which this process sends heartbeats and those from which it expects them.
+ * Updated when the {@link PeerTable} changes.
  */
 final class Neighborhood {
 
@@ -31,13 +31,13 @@
 
 	private final PeerPort port;
 
-	private final Map<DataCenterName, Instant> dataCentersHeard = new HashMap<>();
+	private final Map<DataCenterName, Instant> lastContacts = new HashMap<>();
 
 	private long tableChanges = -1;
 
 	private List<PeerState> targets = List.of();
 
-	private Set<Incarnation> watched = Set.of();
+	private Set<Incarnation> monitored = Set.of();
 
 	private Set<DataCenterName> relayedDataCenters = Set.of();
 
@@ -49,15 +49,16 @@
 		this.port = port;
 	}
 
-	// The neighbors in the own data center, and in others the relays if this is one.
+	// The neighbors in the own data center and, if this process is a relay, the relays of
+	// other data centers.
 	List<PeerState> targets() {
 		refresh(this.clock.instant());
 		return this.targets;
 	}
 
-	// The processes whose heartbeats this one is owed.
-	Set<Incarnation> watched() {
-		return this.watched;
+	// The processes from which this process expects heartbeats.
+	Set<Incarnation> monitored() {
+		return this.monitored;
 	}
 
 	// The data centers for which this process is a relay.
@@ -65,12 +66,12 @@
 		return this.relayedDataCenters;
 	}
 
-	Instant heardAt(DataCenterName dataCenter, Instant now) {
-		return this.dataCentersHeard.computeIfAbsent(dataCenter, (key) -> now);
+	Instant lastContactAt(DataCenterName dataCenter, Instant now) {
+		return this.lastContacts.computeIfAbsent(dataCenter, (key) -> now);
 	}
 
-	void heard(DataCenterName dataCenter, Instant now) {
-		this.dataCentersHeard.put(dataCenter, now);
+	void recordContact(DataCenterName dataCenter, Instant now) {
+		this.lastContacts.put(dataCenter, now);
 	}
 
 	void send(PeerMessage message) {
@@ -82,48 +83,48 @@
 			return;
 		}
 		this.tableChanges = this.table.changes();
-		DataCenterName home = this.self.dataCenter();
-		List<PeerState> ring = this.table.living(home);
+		DataCenterName ownDataCenter = this.self.dataCenter();
+		List<PeerState> ring = this.table.living(ownDataCenter);
 		List<PeerState> newTargets = new ArrayList<>(
-				Neighbors.targets(ring, this.self.incarnation(), this.settings.fanOut()));
-		Set<Incarnation> newWatched = new LinkedHashSet<>();
-		Neighbors.sources(ring, this.self.incarnation(), this.settings.fanOut())
-			.forEach((peer) -> newWatched.add(peer.incarnation()));
+				RingTopology.targets(ring, this.self.incarnation(), this.settings.fanOut()));
+		Set<Incarnation> newMonitored = new LinkedHashSet<>();
+		RingTopology.sources(ring, this.self.incarnation(), this.settings.fanOut())
+			.forEach((peer) -> newMonitored.add(peer.incarnation()));
 		Set<DataCenterName> newRelayed = new LinkedHashSet<>();
 		for (DataCenterName other : this.table.dataCenters()) {
-			if (!other.equals(home) && isRelayFor(other, ring)) {
+			if (!other.equals(ownDataCenter) && isRelayFor(other, ring)) {
 				newRelayed.add(other);
 				if (!this.relayedDataCenters.contains(other)) {
-					this.dataCentersHeard.put(other, now);
+					this.lastContacts.put(other, now);
 				}
-				newTargets.addAll(Neighbors.relays(this.table.living(other), home, this.settings.relays()));
+				newTargets.addAll(RingTopology.relays(this.table.living(other), ownDataCenter, this.settings.relays()));
 			}
 		}
 		this.targets = List.copyOf(newTargets);
 		this.relayedDataCenters = newRelayed;
-		watch(newWatched, now);
+		updateMonitored(newMonitored, now);
 	}
 
 	private boolean isRelayFor(DataCenterName other, List<PeerState> ring) {
-		return Neighbors.relays(ring, other, this.settings.relays())
+		return RingTopology.relays(ring, other, this.settings.relays())
 			.stream()
 			.anyMatch((peer) -> peer.incarnation().equals(this.self.incarnation()));
 	}
 
-	private void watch(Set<Incarnation> newWatched, Instant now) {
-		for (Incarnation each : this.watched) {
+	private void updateMonitored(Set<Incarnation> newMonitored, Instant now) {
+		for (Incarnation each : this.monitored) {
 			PeerEntity peer = this.table.entity(each);
-			if (peer != null && !newWatched.contains(each)) {
-				peer.unwatch();
+			if (peer != null && !newMonitored.contains(each)) {
+				peer.stopMonitoring();
 			}
 		}
-		for (Incarnation each : newWatched) {
+		for (Incarnation each : newMonitored) {
 			PeerEntity peer = this.table.entity(each);
 			if (peer != null) {
-				peer.watch(now);
+				peer.startMonitoring(now);
 			}
 		}
-		this.watched = newWatched;
+		this.monitored = newMonitored;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/PeerEntity.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/PeerEntity.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the table keeps of one peer.
+ * The state of one peer with its times of contact and monitoring.
  */
 final class PeerEntity {
 
@@ -14,9 +14,9 @@
 
 	private Instant changedAt;
 
-	private @Nullable Instant heardAt;
+	private @Nullable Instant lastContactAt;
 
-	private @Nullable Instant watchedSince;
+	private @Nullable Instant monitoredSince;
 
 	PeerEntity(PeerState state, Instant now) {
 		this.state = state;
@@ -36,33 +36,33 @@
 		return this.changedAt;
 	}
 
-	void heard(Instant now) {
-		this.heardAt = now;
+	void recordContact(Instant now) {
+		this.lastContactAt = now;
 	}
 
-	void watch(Instant now) {
-		if (this.watchedSince == null) {
-			this.watchedSince = now;
+	void startMonitoring(Instant now) {
+		if (this.monitoredSince == null) {
+			this.monitoredSince = now;
 		}
 	}
 
-	void unwatch() {
-		this.watchedSince = null;
+	void stopMonitoring() {
+		this.monitoredSince = null;
 	}
 
 	/**
-	 * Returns since when a watched peer has been silent. A peer that has only just become
-	 * a neighbor counts from that time, or it would be suspected for heartbeats that it
-	 * did not owe.
-	 * @return the time, or {@code null} if the peer is not watched
+	 * Returns the time since which a monitored peer has been silent. The time counts from
+	 * the start of monitoring at the earliest, since a new neighbor would otherwise be
+	 * suspected for heartbeats that it was not expected to send.
+	 * @return the time, or {@code null} if the peer is not monitored
 	 */
 	@Nullable Instant silentSince() {
-		Instant since = this.watchedSince;
-		Instant heard = this.heardAt;
-		if (since == null || heard == null || heard.isBefore(since)) {
+		Instant since = this.monitoredSince;
+		Instant lastContact = this.lastContactAt;
+		if (since == null || lastContact == null || lastContact.isBefore(since)) {
 			return since;
 		}
-		return heard;
+		return lastContact;
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/PeerSeed.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/PeerSeed.java
@@ -4,11 +4,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An address at which a peer may be, from the settings or from the platform's list.
+ * The address of a possible peer, from the settings or from the platform's list.
  *
  * @param address the peer's address in the form {@code host:port}
  * @param vm the VM, or {@code null} if the settings name only the address
- * @param leaving whether the platform's list calls the VM leaving
+ * @param leaving whether the platform's list reports the VM as leaving
  */
 public record PeerSeed(String address, @Nullable VmId vm, boolean leaving) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/PeerTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/PeerTable.java
@@ -16,8 +16,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The entry processes that are known, this one included. Used by the entry's tick thread
- * only.
+ * The membership list: the entry processes with their states, this one included. Used by
+ * the entry's tick thread only.
  */
 public final class PeerTable {
 
@@ -34,9 +34,9 @@
 	private boolean joining;
 
 	/**
-	 * Returns what is known of a process.
+	 * Returns the state of a process.
 	 * @param incarnation the process
-	 * @return its state, or {@code null} if it is not known
+	 * @return its state, or {@code null} if it is not in the table
 	 */
 	public @Nullable PeerState find(Incarnation incarnation) {
 		PeerEntity peer = this.peers.get(incarnation);
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Returns the processes of a data center that are not believed dead.
+	 * Returns the processes of a data center that are not declared dead.
 	 * @param dataCenter the data center
 	 * @return the processes, in ring order
 	 */
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Returns the data centers of which a living process is known.
+	 * Returns the data centers with at least one living process.
 	 * @return the data centers
 	 */
 	public List<DataCenterName> dataCenters() {
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Returns all processes that are not believed dead.
+	 * Returns all processes that are not declared dead.
 	 * @return the processes
 	 */
 	public List<PeerState> living() {
@@ -71,9 +71,9 @@
 	}
 
 	/**
-	 * Returns whether a process is known and not believed dead.
+	 * Returns whether a process is in the table and not declared dead.
 	 * @param incarnation the process
-	 * @return whether it lives
+	 * @return whether it is living
 	 */
 	public boolean isLiving(Incarnation incarnation) {
 		PeerState state = find(incarnation);
@@ -81,23 +81,23 @@
 	}
 
 	/**
-	 * Returns the number of processes known, the dead included.
-	 * @return the number
+	 * Returns the number of processes, dead ones included.
+	 * @return the number of processes
 	 */
 	public int size() {
 		return this.peers.size();
 	}
 
 	/**
-	 * Returns a number that rises with each change of the table.
-	 * @return the number of changes
+	 * Returns the number of changes of the table.
+	 * @return a number that increases with each change
 	 */
 	public long changes() {
 		return this.changes;
 	}
 
 	/**
-	 * Returns a digest over what is believed of all living processes.
+	 * Returns a digest of the states of all living processes.
 	 * @return the digest
 	 */
 	public long digest() {
@@ -105,7 +105,7 @@
 	}
 
 	/**
-	 * Returns a digest over what is believed of a data center's living processes.
+	 * Returns a digest of the states of a data center's living processes.
 	 * @param dataCenter the data center
 	 * @return the digest
 	 */
@@ -114,9 +114,9 @@
 	}
 
 	/**
-	 * Returns whether this process knows where peers may be and has not met one yet. It
-	 * ends with the first peer, or once the seeds had time enough to answer.
-	 * @return whether the first peer is still awaited
+	 * Returns whether this process has seeds and is waiting for its first peer. Joining
+	 * ends with the first peer or at the join timeout.
+	 * @return whether this process is joining
 	 */
 	public boolean isJoining() {
 		return this.joining;
@@ -186,8 +186,8 @@
 	}
 
 	private void addDigest(PeerState state) {
-		// A suspicion is left out: it is spread and refuted by itself, and would only
-		// make digests differ while it lasts.
+		// Suspicion is excluded: it is disseminated and refuted separately, and would
+		// only cause transient differences of digests.
 		int leaving = (state.status() == PeerStatus.LEAVING) ? 1 : 0;
 		long hash = Rendezvous.mix(position(state) + leaving);
 		this.digest ^= hash;
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/Rendezvous.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/Rendezvous.java
@@ -8,13 +8,13 @@
 
 /**
  * Rendezvous hashing: every process ranks the same candidates for a key in the same
- * order, and a candidate that comes or goes moves only its own keys.
+ * order, and adding or removing a candidate moves only that candidate's keys.
  */
 public final class Rendezvous {
 
-	private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
+	private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
 
-	private static final long PRIME = 0x100000001b3L;
+	private static final long FNV_PRIME = 0x100000001b3L;
 
 	private Rendezvous() {
 	}
@@ -24,8 +24,8 @@
 	 * @param <T> the type of a candidate
 	 * @param key the key
 	 * @param candidates the candidates
-	 * @param name gives a candidate's name
-	 * @return the candidates, the best first
+	 * @param name returns a candidate's name
+	 * @return the candidates in descending order of their scores
 	 */
 	public static <T> List<T> rank(String key, List<T> candidates, Function<? super T, String> name) {
 		long keyHash = hash(key);
@@ -37,12 +37,12 @@
 	}
 
 	/**
-	 * Returns the best candidate for a key.
+	 * Returns the candidate with the highest score for a key.
 	 * @param <T> the type of a candidate
 	 * @param key the key
 	 * @param candidates the candidates
-	 * @param name gives a candidate's name
-	 * @return the best candidate, or {@code null} if there is none
+	 * @param name returns a candidate's name
+	 * @return the candidate, or {@code null} if there is none
 	 */
 	public static <T> @Nullable T first(String key, List<T> candidates, Function<? super T, String> name) {
 		long keyHash = hash(key);
@@ -59,20 +59,20 @@
 	}
 
 	/**
-	 * Hashes a text.
+	 * Returns a hash of a text that is the same in every process.
 	 * @param text the text
-	 * @return the hash, the same in every process
+	 * @return the hash
 	 */
 	public static long hash(String text) {
-		long hash = OFFSET_BASIS;
+		long hash = FNV_OFFSET_BASIS;
 		for (int index = 0; index < text.length(); index++) {
-			hash = (hash ^ text.charAt(index)) * PRIME;
+			hash = (hash ^ text.charAt(index)) * FNV_PRIME;
 		}
 		return mix(hash);
 	}
 
 	/**
-	 * Spreads the bits of a number over the whole of it.
+	 * Mixes the bits of a number so that each input bit affects all output bits.
 	 * @param value the number
 	 * @return the mixed number
 	 */
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/Neighbors.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/RingTopology.java
@@ -8,21 +8,21 @@
 import org.banyancove.core.peer.PeerState;
 
 /**
- * Who sends heartbeats to whom. In a data center the processes stand on a ring; each
- * sends to those at a few distances that grow by the same factor, so that a notice that
- * each passes on once reaches all in few steps while nobody sends to more than a few.
+ * The topology of heartbeats. The processes of a data center form a ring; each sends to
+ * the processes at a few distances that grow by the same factor. A notice that each
+ * process forwards once thus reaches all in few steps with a bounded fan-out.
  */
-final class Neighbors {
+final class RingTopology {
 
-	private Neighbors() {
+	private RingTopology() {
 	}
 
 	static List<PeerState> targets(List<PeerState> ring, Incarnation self, int fanOut) {
-		return at(ring, self, fanOut, 1);
+		return atDistances(ring, self, fanOut, 1);
 	}
 
 	static List<PeerState> sources(List<PeerState> ring, Incarnation self, int fanOut) {
-		return at(ring, self, fanOut, -1);
+		return atDistances(ring, self, fanOut, -1);
 	}
 
 	static List<PeerState> relays(List<PeerState> living, DataCenterName other, int relays) {
@@ -30,18 +30,18 @@
 		return ranked.subList(0, Math.min(relays, ranked.size()));
 	}
 
-	static List<Integer> distances(int others, int fanOut) {
+	static List<Integer> distances(int peerCount, int fanOut) {
 		List<Integer> distances = new ArrayList<>();
 		int previous = 0;
-		for (int step = 0; step < fanOut && previous < others; step++) {
-			int wanted = (int) Math.round(Math.pow(others, (double) step / fanOut));
-			previous = Math.min(others, Math.max(previous + 1, wanted));
+		for (int step = 0; step < fanOut && previous < peerCount; step++) {
+			int target = (int) Math.round(Math.pow(peerCount, (double) step / fanOut));
+			previous = Math.min(peerCount, Math.max(previous + 1, target));
 			distances.add(previous);
 		}
 		return distances;
 	}
 
-	private static List<PeerState> at(List<PeerState> ring, Incarnation self, int fanOut, int direction) {
+	private static List<PeerState> atDistances(List<PeerState> ring, Incarnation self, int fanOut, int direction) {
 		int position = 0;
 		while (position < ring.size() && !ring.get(position).incarnation().equals(self)) {
 			position++;
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/SeedContacts.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/SeedAddresses.java
@@ -8,9 +8,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The addresses at which peers may be, and which of them to greet.
+ * The addresses of possible peers, and the selection of those to contact.
  */
-final class SeedContacts {
+final class SeedAddresses {
 
 	private static final int SEEDS_PER_ROUND = 2;
 
@@ -22,12 +22,12 @@
 
 	private final Set<String> addresses = new LinkedHashSet<>();
 
-	SeedContacts(PeerTable table, RandomGenerator random) {
+	SeedAddresses(PeerTable table, RandomGenerator random) {
 		this.table = table;
 		this.random = random;
 	}
 
-	void set(List<PeerSeed> seeds, String ownAddress) {
+	void replace(List<PeerSeed> seeds, String ownAddress) {
 		this.addresses.clear();
 		for (PeerSeed seed : seeds) {
 			if (this.addresses.size() < MAXIMUM_SEEDS && !seed.address().equals(ownAddress)) {
@@ -40,8 +40,8 @@
 		return this.addresses.isEmpty();
 	}
 
-	// A few seeds at which no living peer is known. Greeting them brings a new process
-	// in, and brings parts together again that had each believed the other dead.
+	// Selects a few seeds without a living peer in the table. Contacting them lets a new
+	// process join, and merges groups that had declared each other dead.
 	List<String> choose() {
 		if (this.addresses.isEmpty()) {
 			return List.of();
@@ -50,7 +50,7 @@
 		this.table.living().forEach((peer) -> known.add(peer.address()));
 		List<String> unknown = this.addresses.stream().filter((address) -> !known.contains(address)).toList();
 		List<String> chosen = new ArrayList<>();
-		for (int each = 0; each < Math.min(SEEDS_PER_ROUND, unknown.size()); each++) {
+		for (int index = 0; index < Math.min(SEEDS_PER_ROUND, unknown.size()); index++) {
 			chosen.add(unknown.get(this.random.nextInt(unknown.size())));
 		}
 		return chosen;
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/SeenNotices.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/SeenNotices.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The notices that were passed on already, so that none goes round for ever.
+ * The notices that were already forwarded, so that each is forwarded only once.
  */
 final class SeenNotices {
 
@@ -18,11 +18,11 @@
 		this.clock = clock;
 	}
 
-	boolean isNews(String notice) {
+	boolean addIfAbsent(String notice) {
 		return this.notices.putIfAbsent(notice, this.clock.instant()) == null;
 	}
 
-	void forgetBefore(Instant limit) {
+	void removeBefore(Instant limit) {
 		this.notices.values().removeIf((at) -> at.isBefore(limit));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which entry processes there are, and who is leaving. It may be wrong: no promise to a
- * caller depends on its being right.
+ * Group membership of the entry processes and detection of failed and leaving ones. The
+ * membership list may be wrong: no guarantee to a caller depends on its accuracy.
  */
 @NullMarked
 package org.banyancove.core.membership;
--- a/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipFixture.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipFixture.java
@@ -13,7 +13,7 @@
 	}
 
 	/**
-	 * Puts a process into a table.
+	 * Adds a process to a table.
 	 * @param table the table
 	 * @param state the process
 	 */
@@ -22,9 +22,9 @@
 	}
 
 	/**
-	 * Lets a process wait for its first peer, or no longer.
+	 * Sets whether a process is waiting for its first peer.
 	 * @param table the process's table
-	 * @param joining whether it waits
+	 * @param joining whether it is waiting
 	 */
 	public static void setJoining(PeerTable table, boolean joining) {
 		table.setJoining(joining);
--- a/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipFleet.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipFleet.java
@@ -24,8 +24,9 @@
 import org.banyancove.core.peer.PeerStatus;
 
 /**
- * Several processes' membership over a fake network in one thread. Messages arrive in the
- * step after they were sent, unless their way is cut or they are lost.
+ * Several processes that run the membership protocol over a simulated network in one
+ * thread. Messages arrive in the step after they were sent, unless the network is
+ * partitioned or they are lost.
  */
 final class MembershipFleet {
 
@@ -35,9 +36,9 @@
 
 	final Set<String> paused = new HashSet<>();
 
-	final Set<DataCenterName> cutOff = new HashSet<>();
+	final Set<DataCenterName> partitioned = new HashSet<>();
 
-	double loss;
+	double lossProbability;
 
 	private final Random random;
 
@@ -79,7 +80,7 @@
 			if (this.paused.contains(sent.to)) {
 				this.inFlight.add(sent);
 			}
-			else if (to != null && this.random.nextDouble() >= this.loss && !isCut(sent.from, to)) {
+			else if (to != null && this.random.nextDouble() >= this.lossProbability && !isPartitioned(sent.from, to)) {
 				to.system.receive(sent.message);
 			}
 		}
@@ -90,9 +91,9 @@
 		}
 	}
 
-	private boolean isCut(DataCenterName from, Member to) {
+	private boolean isPartitioned(DataCenterName from, Member to) {
 		DataCenterName other = to.system.self().dataCenter();
-		return !from.equals(other) && (this.cutOff.contains(from) || this.cutOff.contains(other));
+		return !from.equals(other) && (this.partitioned.contains(from) || this.partitioned.contains(other));
 	}
 
 	final class Member implements MembershipListener, HeartbeatSource {
--- a/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipSystemTests.java
@@ -19,18 +19,18 @@
 	private final MembershipFleet fleet = new MembershipFleet(42);
 
 	@Test
-	void processesFindEachOtherThroughOneSeedOverThreeDataCenters() {
+	void joinsThroughOneSeedAcrossThreeDataCenters() {
 		startThreeDataCenters(3);
 		this.fleet.run(Duration.ofSeconds(30));
 		assertThat(this.fleet.members.values()).allSatisfy((member) -> assertThat(member.table.living()).hasSize(9));
 	}
 
 	/*
-	 * A fresh process that has seeds waits for its first peer before it takes work, so
-	 * that a second entry can hold it. Where no seed answers, it goes on alone.
+	 * A new process with seeds waits for its first peer before it accepts requests, since
+	 * no second entry could hold them. If no seed answers, it serves alone.
 	 */
 	@Test
-	void aFreshProcessIsJoiningUntilItMeetsAPeerOrItsSeedsStaySilent() {
+	void isJoiningUntilFirstPeerOrJoinTimeout() {
 		MembershipFleet.Member first = this.fleet.start("north1", 0, "north3-9:1");
 		assertThat(first.table.isJoining()).isTrue();
 		this.fleet.run(Duration.ofSeconds(6));
@@ -43,7 +43,7 @@
 	}
 
 	@Test
-	void nobodySendsToMoreThanAFewInALargeDataCenter() {
+	void heartbeatFanOutIsBoundedInLargeDataCenter() {
 		for (int number = 0; number < 62; number++) {
 			this.fleet.start("north1", number, SEED);
 		}
@@ -52,16 +52,17 @@
 			assertThat(member.table.living()).hasSize(62);
 			assertThat(member.system.neighbors()).hasSize(MembershipSettings.defaults().fanOut());
 		});
-		assertThat(Neighbors.distances(61, 4)).containsExactly(1, 3, 8, 22);
-		assertThat(Neighbors.distances(2, 4)).containsExactly(1, 2);
+		assertThat(RingTopology.distances(61, 4)).containsExactly(1, 3, 8, 22);
+		assertThat(RingTopology.distances(2, 4)).containsExactly(1, 2);
 	}
 
 	/*
-	 * An entry dies without notice. Its neighbors miss its heartbeats, say so, nobody
-	 * refutes it, and all peers believe it dead, so that its holders take over.
+	 * An entry fails without notice. Its neighbors miss its heartbeats and suspect it,
+	 * the suspicion is not refuted, and all peers declare it dead, so that the holders of
+	 * its requests take over.
 	 */
 	@Test
-	void aDeadProcessIsFoundByAll() {
+	void allPeersDetectDeadProcess() {
 		startThreeDataCenters(3);
 		this.fleet.run(Duration.ofSeconds(30));
 		this.fleet.members.remove("north2-1:1");
@@ -73,11 +74,11 @@
 	}
 
 	/*
-	 * An entry is paused for longer than the timeouts and wakes up. It is believed dead
-	 * meanwhile; once it hears so, it raises its own number and is a peer again.
+	 * An entry is paused for longer than the timeouts and is declared dead. After it
+	 * resumes it receives this state, increments its refutation number and rejoins.
 	 */
 	@Test
-	void aPausedProcessComesBack() {
+	void pausedProcessRejoins() {
 		startThreeDataCenters(3);
 		this.fleet.run(Duration.ofSeconds(30));
 		this.fleet.paused.add("north1-2:1");
@@ -89,34 +90,34 @@
 	}
 
 	/*
-	 * A data center is cut off from the others for an hour. Inside, all go on; nobody
-	 * outside counts its processes as dead for a cut that they cannot tell from silence,
-	 * and after the cut both sides know of a process that was started during it.
+	 * A network partition isolates a data center for an hour. Within it the processes
+	 * stay members; after the partition all processes are members on both sides again,
+	 * also one that was started during the partition.
 	 */
 	@Test
-	void aCutOffDataCenterIsJoinedAgainAfterAnHour() {
+	void partitionedDataCenterRejoinsAfterOneHour() {
 		startThreeDataCenters(3);
 		this.fleet.run(Duration.ofSeconds(30));
-		this.fleet.cutOff.add(new DataCenterName("north3"));
+		this.fleet.partitioned.add(new DataCenterName("north3"));
 		this.fleet.run(Duration.ofMinutes(5));
 		this.fleet.start("north3", 7, "north3-0:1");
 		this.fleet.run(Duration.ofMinutes(55));
-		this.fleet.cutOff.clear();
+		this.fleet.partitioned.clear();
 		this.fleet.run(Duration.ofMinutes(1));
 		assertThat(this.fleet.members.values()).allSatisfy((member) -> assertThat(member.table.living()).hasSize(10));
 	}
 
 	/*
-	 * The platform's list lags and the notice of an endpoint's VM reaches one entry only,
-	 * while a fifth of all messages are lost. Every entry learns of it once.
+	 * The platform's list is outdated and the reclaim notice of an endpoint's VM reaches
+	 * one entry only, while 20 % of all messages are lost. Every entry is notified once.
 	 */
 	@Test
-	void aLeavingNoticeReachesEveryEntryOnce() {
+	void leavingNoticeReachesEveryEntryOnce() {
 		for (int number = 0; number < 20; number++) {
 			this.fleet.start("north1", number, SEED);
 		}
 		this.fleet.run(Duration.ofSeconds(30));
-		this.fleet.loss = 0.2;
+		this.fleet.lossProbability = 0.2;
 		VmId vm = new VmId("engine-1");
 		this.fleet.member(SEED).system.vmLeaving(vm, List.of(new EndpointId("engine-1")), Instant.EPOCH);
 		this.fleet.run(Duration.ofSeconds(1));
@@ -125,7 +126,7 @@
 	}
 
 	@Test
-	void aLeavingEntryIsKnownAsLeavingEverywhere() {
+	void allPeersReportLeavingEntryAsLeaving() {
 		startThreeDataCenters(3);
 		this.fleet.run(Duration.ofSeconds(30));
 		MembershipFleet.Member leaving = this.fleet.member("north1-1:1");
@@ -137,12 +138,12 @@
 	}
 
 	@Test
-	void heavyLossBuriesNobodyForLong() {
+	void recoversFromFalseDeathsAfterHeavyMessageLoss() {
 		startThreeDataCenters(3);
 		this.fleet.run(Duration.ofSeconds(30));
-		this.fleet.loss = 0.3;
+		this.fleet.lossProbability = 0.3;
 		this.fleet.run(Duration.ofMinutes(5));
-		this.fleet.loss = 0;
+		this.fleet.lossProbability = 0;
 		this.fleet.run(Duration.ofSeconds(30));
 		assertThat(this.fleet.members.values()).allSatisfy((member) -> assertThat(member.table.living()).hasSize(9));
 	}
