--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/Fingerprint.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/Fingerprint.java
@@ -8,8 +8,8 @@
 import org.banyancove.core.AccountName;
 
 /**
- * A digest of account and body, by which a request is known again when its caller repeats
- * it under another identifier or at another entry.
+ * A digest of account and body that identifies a request when its caller repeats it under
+ * another identifier or at another entry.
  *
  * @param high the first 64 bits of the digest
  * @param low the next 64 bits
@@ -35,7 +35,7 @@
 			return MessageDigest.getInstance("SHA-256");
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("Every Java platform must have SHA-256", ex);
+			throw new IllegalStateException("Every Java platform must support SHA-256", ex);
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/LossCause.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/LossCause.java
@@ -1,17 +1,17 @@
 package org.banyancove.core.suspect;
 
 /**
- * Why an endpoint was lost, as far as can be told.
+ * The cause of the loss of an endpoint, as far as known.
  */
 public enum LossCause {
 
 	/** Its VM had a reclaim notice. */
 	RECLAIM,
 
-	/** Several VMs of its zone went together, or with and after notices. */
+	/** Several VMs of its zone were lost at the same time, or with and after notices. */
 	WAVE,
 
-	/** Nothing announced it: what ran there is suspect. */
+	/** It was not announced: the requests that were running there are suspect. */
 	CRASH
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/LossJudge.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/LossClassifier.java
@@ -15,28 +15,28 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * Tells crashes from reclaims and from waves, in which many VMs of a zone go, not all of
- * them with a notice that came in time.
+ * Classifies losses of endpoints as crashes, reclaims or waves. In a wave many VMs of a
+ * zone are reclaimed, some of them before their notice was received.
  */
-final class LossJudge {
+final class LossClassifier {
 
-	/** Notices and losses this far apart can belong to the same wave. */
-	private static final Duration WAVE = Duration.ofMinutes(2);
+	/** Notices and losses within this time of each other can belong to the same wave. */
+	private static final Duration WAVE_WINDOW = Duration.ofMinutes(2);
 
-	/** Losses of a zone without any notice this close together are no chance. */
-	private static final Duration TOGETHER = Duration.ofSeconds(2);
+	/** Losses of a zone without any notice within this time are not coincidental. */
+	private static final Duration SUDDEN_WAVE_WINDOW = Duration.ofSeconds(2);
 
-	/** VMs of a zone that must be affected before a wave excuses a loss. */
-	private static final int WAVE_VMS = 3;
+	/** VMs of a zone that must be affected before a loss is attributed to a wave. */
+	private static final int MINIMUM_WAVE_VMS = 3;
 
-	private static final int MOST_NOTICES = 20_000;
+	private static final int MAXIMUM_NOTICES = 20_000;
 
-	private static final int MOST_LOSSES_OF_A_ZONE = 256;
+	private static final int MAXIMUM_EVENTS_PER_ZONE = 256;
 
 	private final Map<VmId, Notice> notices = new LinkedHashMap<>() {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<VmId, Notice> eldest) {
-			return size() > MOST_NOTICES;
+			return size() > MAXIMUM_NOTICES;
 		}
 	};
 
@@ -44,19 +44,19 @@
 
 	private final Map<ZoneName, Deque<Loss>> losses = new HashMap<>();
 
-	void notice(VmId vm, ZoneName zone, Instant now) {
+	void recordNotice(VmId vm, ZoneName zone, Instant now) {
 		Notice notice = new Notice(vm, now);
 		if (this.notices.putIfAbsent(vm, notice) == null) {
 			addBounded(this.zoneNotices.computeIfAbsent(zone, (name) -> new ArrayDeque<>()), notice);
 		}
 	}
 
-	void lost(Loss loss) {
+	void recordLoss(Loss loss) {
 		addBounded(this.losses.computeIfAbsent(loss.zone(), (name) -> new ArrayDeque<>()), loss);
 	}
 
 	/**
-	 * Returns the losses of a zone that may have to be judged anew.
+	 * Returns the losses of a zone whose classification may still change.
 	 * @param zone the zone
 	 * @return its recent losses
 	 */
@@ -64,15 +64,15 @@
 		return List.copyOf(this.losses.getOrDefault(zone, new ArrayDeque<>()));
 	}
 
-	LossCause judge(Loss loss) {
+	LossCause classify(Loss loss) {
 		if (this.notices.containsKey(loss.vm())) {
 			return LossCause.RECLAIM;
 		}
 		return ((isNoticedWave(loss) || isSuddenWave(loss)) ? LossCause.WAVE : LossCause.CRASH);
 	}
 
-	void forget(Instant now) {
-		Instant oldest = now.minus(WAVE);
+	void removeExpired(Instant now) {
+		Instant oldest = now.minus(WAVE_WINDOW);
 		this.zoneNotices.values().forEach((list) -> list.removeIf((notice) -> notice.at().isBefore(oldest)));
 		this.zoneNotices.values().removeIf(Deque::isEmpty);
 		this.losses.values().forEach((list) -> list.removeIf((loss) -> loss.crash().at().isBefore(oldest)));
@@ -82,35 +82,36 @@
 	private boolean isNoticedWave(Loss loss) {
 		Set<VmId> affected = new HashSet<>();
 		for (Notice notice : this.zoneNotices.getOrDefault(loss.zone(), new ArrayDeque<>())) {
-			if (isWithin(WAVE, notice.at(), loss.crash().at())) {
+			if (isWithin(WAVE_WINDOW, notice.at(), loss.crash().at())) {
 				affected.add(notice.vm());
 			}
 		}
 		if (affected.isEmpty()) {
 			return false;
 		}
-		for (Loss other : losses(loss, WAVE)) {
+		for (Loss other : lossesWithin(loss, WAVE_WINDOW)) {
 			affected.add(other.vm());
 		}
-		return affected.size() >= WAVE_VMS;
+		return affected.size() >= MINIMUM_WAVE_VMS;
 	}
 
 	private boolean isSuddenWave(Loss loss) {
-		// Losses at once without any notice can also come from one request that its
-		// caller sent many times: then the same fingerprint ran at all of them. Where
-		// a suspect ran, it explains the loss, which hence is no sign of a wave.
+		// Simultaneous losses without any notice can also be caused by one request that
+		// its caller sent many times: then the same fingerprint ran at all of them.
+		// Where a suspect ran, it explains the loss, which hence does not indicate a
+		// wave.
 		Set<VmId> affected = new HashSet<>();
-		Set<Fingerprint> common = new HashSet<>(loss.ran());
-		for (Loss other : losses(loss, TOGETHER)) {
-			common.retainAll(other.ran());
-			if (!other.suspectRan()) {
+		Set<Fingerprint> common = new HashSet<>(loss.fingerprints());
+		for (Loss other : lossesWithin(loss, SUDDEN_WAVE_WINDOW)) {
+			common.retainAll(other.fingerprints());
+			if (!other.includesSuspect()) {
 				affected.add(other.vm());
 			}
 		}
-		return affected.size() >= WAVE_VMS && common.isEmpty();
+		return affected.size() >= MINIMUM_WAVE_VMS && common.isEmpty();
 	}
 
-	private List<Loss> losses(Loss loss, Duration window) {
+	private List<Loss> lossesWithin(Loss loss, Duration window) {
 		return recentLosses(loss.zone()).stream()
 			.filter((other) -> isWithin(window, other.crash().at(), loss.crash().at()))
 			.toList();
@@ -121,7 +122,7 @@
 	}
 
 	private static <T> void addBounded(Deque<T> list, T element) {
-		if (list.size() == MOST_LOSSES_OF_A_ZONE) {
+		if (list.size() == MAXIMUM_EVENTS_PER_ZONE) {
 			list.removeFirst();
 		}
 		list.addLast(element);
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/Suspect.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/Suspect.java
@@ -8,17 +8,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request that ran at an endpoint when it crashed. An entity of {@link SuspectTable}.
+ * A request that was running at an endpoint when it crashed. An entity of
+ * {@link SuspectTable}.
  */
 final class Suspect {
 
-	/** Crashes kept of one suspect; more would add nothing to the proof. */
-	private static final int MOST_CRASHES = 6;
+	/** Crashes recorded per suspect; more would add no evidence. */
+	private static final int MAXIMUM_CRASHES = 6;
 
 	/**
-	 * What a loss in a wave proves. Were it nothing, a request that crashes endpoints
-	 * could go on as long as a wave lasts (a random run saw 60 crashes by one request);
-	 * an innocent one seldom meets the wave again where it is sent next.
+	 * The weight of a loss in a wave. At zero, a request that crashes endpoints could
+	 * continue for the duration of a wave (60 crashes by one request in a simulation). A
+	 * harmless request is rarely affected by the wave again at its next endpoint.
 	 */
 	private static final double WEIGHT_IN_WAVE = 0.5;
 
@@ -28,7 +29,7 @@
 
 	private @Nullable Instant clearedAt;
 
-	private boolean convicted;
+	private boolean confirmed;
 
 	private Instant lastSeen;
 
@@ -53,20 +54,20 @@
 		return this.lastSeen;
 	}
 
-	boolean isConvicted() {
-		return this.convicted;
+	boolean isConfirmed() {
+		return this.confirmed;
 	}
 
-	void convict() {
-		this.convicted = true;
+	void confirm() {
+		this.confirmed = true;
 	}
 
-	void seen(Instant now) {
+	void updateLastSeen(Instant now) {
 		this.lastSeen = now;
 	}
 
 	/**
-	 * Adds a crash, or notes that a known one may have been part of a wave.
+	 * Adds a crash, or marks a recorded one as possibly part of a wave.
 	 * @param crash the crash
 	 */
 	void addCrash(Crash crash) {
@@ -79,13 +80,13 @@
 				return;
 			}
 		}
-		if (this.crashes.size() < MOST_CRASHES) {
+		if (this.crashes.size() < MAXIMUM_CRASHES) {
 			this.crashes.add(crash);
 		}
 	}
 
 	/**
-	 * Returns how many crashes are proved, those in a wave counting half.
+	 * Returns the total weight of the crashes, in which those in a wave count half.
 	 * @return the weight of the crashes
 	 */
 	double weight() {
@@ -103,7 +104,7 @@
 		}
 	}
 
-	void excuse(Crash crash) {
+	void removeCrash(Crash crash) {
 		this.crashes.removeIf(crash::isSameAs);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectDecision.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectDecision.java
@@ -7,7 +7,7 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * How a request may be run.
+ * Whether and how a request may run.
  */
 public sealed interface SuspectDecision {
 
@@ -18,26 +18,27 @@
 	}
 
 	/**
-	 * The request is suspect and runs apart from other suspects.
+	 * The request is suspect and runs isolated from other suspects.
 	 *
-	 * @param excluded the endpoints that it must not be placed on
+	 * @param excluded the endpoints at which it must not be placed
 	 */
 	record RunApart(Set<EndpointId> excluded) implements SuspectDecision {
 	}
 
 	/**
-	 * The request waits: the same request runs already, or its last crash is too fresh to
-	 * be judged.
+	 * The request waits: the same request is already running, or reports of its last
+	 * crash may still arrive.
 	 *
-	 * @param retryAfter when to ask again, unless the other one ends before
+	 * @param retryAfter the delay before the next decision, unless the other request ends
+	 * earlier
 	 */
 	record Wait(Duration retryAfter) implements SuspectDecision {
 	}
 
 	/**
-	 * The request crashed two endpoints and gets its final answer.
+	 * The request crashed two endpoints and is refused without a retry.
 	 *
-	 * @param kind the kind of error to answer with
+	 * @param kind the kind of error to return
 	 */
 	record Refused(ErrorKind kind) implements SuspectDecision {
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectExchange.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectExchange.java
@@ -12,27 +12,28 @@
 import org.banyancove.core.Incarnation;
 
 /**
- * Decides when a peer is told again what this entry knows of suspects.
+ * Anti-entropy for suspects: decides when records are sent to a peer again.
  * <p>
- * What changes is told at once, but once only: a peer that missed it, or that started
- * later, would let a stopped request through for good. So heartbeats carry a digest. A
- * peer whose digest has differed for a while, while neither side changed, is told a
- * bounded part of all records. Entries that cleared a suspect, or forgot it earlier,
- * differ without need; they are told the next part only after {@link #REPEAT}.
+ * A change is sent immediately, but only once: a peer that missed it or that started
+ * later would never refuse the request. Heartbeats hence carry a digest. A peer whose
+ * digest has differed for a while, with no change on either side, receives a bounded part
+ * of all records. Entries that cleared a suspect, or whose record expired earlier, differ
+ * without having missed anything; after all records were sent they are sent again only
+ * after {@link #REPEAT_INTERVAL}.
  * <p>
- * Belongs to the tick loop; not safe for use by several threads.
+ * Confined to the tick loop; not thread-safe.
  */
 public final class SuspectExchange {
 
-	/** Longer than news takes to come round. */
-	static final Duration SETTLE = Duration.ofSeconds(3);
+	/** Longer than a change takes to reach all peers. */
+	static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
-	static final Duration REPEAT = Duration.ofMinutes(2);
+	static final Duration REPEAT_INTERVAL = Duration.ofMinutes(2);
 
-	/** Records told at a time: 16 of about 100 bytes to 6 peers are 80 bytes a second. */
-	static final int MOST_TOLD = 16;
+	/** With records of about 100 bytes and 6 peers this is 80 bytes per second. */
+	static final int MAXIMUM_RECORDS_PER_SEND = 16;
 
-	private static final int MOST_PEERS = 256;
+	private static final int MAXIMUM_PEERS = 256;
 
 	private final SuspectSystem suspects;
 
@@ -41,13 +42,13 @@
 	private final Map<Incarnation, Difference> differences = new LinkedHashMap<>(16, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Incarnation, Difference> eldest) {
-			return size() > MOST_PEERS;
+			return size() > MAXIMUM_PEERS;
 		}
 	};
 
 	/**
 	 * Creates the exchange.
-	 * @param suspects what this entry knows
+	 * @param suspects the suspects of this entry
 	 * @param clock the clock
 	 */
 	public SuspectExchange(SuspectSystem suspects, InstantSource clock) {
@@ -56,46 +57,46 @@
 	}
 
 	/**
-	 * Takes the digest that a peer's heartbeat carries.
+	 * Compares the digest of a peer's heartbeat with the local one.
 	 * @param peer the peer
 	 * @param digest its {@link SuspectSystem#digest()}
-	 * @return the records to tell it, mostly none
+	 * @return the records to send to it, usually none
 	 */
 	public List<SuspectRecord> heard(Incarnation peer, long digest) {
-		long own = this.suspects.digest();
-		if (own == digest) {
+		long local = this.suspects.digest();
+		if (local == digest) {
 			this.differences.remove(peer);
 			return List.of();
 		}
 		Instant now = this.clock.instant();
-		Difference last = this.differences.get(peer);
-		if (last == null || last.own != own || last.theirs != digest) {
-			int next = ((last != null) ? last.next : 0);
-			this.differences.put(peer, new Difference(own, digest, now.plus(SETTLE), next));
+		Difference previous = this.differences.get(peer);
+		if (previous == null || previous.local != local || previous.remote != digest) {
+			int nextIndex = ((previous != null) ? previous.nextIndex : 0);
+			this.differences.put(peer, new Difference(local, digest, now.plus(SETTLE_TIME), nextIndex));
 			return List.of();
 		}
-		if (now.isBefore(last.tellAt)) {
+		if (now.isBefore(previous.sendAt)) {
 			return List.of();
 		}
 		List<SuspectRecord> all = new ArrayList<>(this.suspects.records());
 		all.removeIf((record) -> record.crashes().isEmpty());
 		all.sort(Comparator.comparing(SuspectRecord::fingerprint));
-		int from = ((last.next < all.size()) ? last.next : 0);
-		int until = Math.min(all.size(), from + MOST_TOLD);
-		Duration pause = ((until < all.size()) ? SETTLE : REPEAT);
-		this.differences.put(peer, new Difference(own, digest, now.plus(pause), until));
-		return List.copyOf(all.subList(from, until));
+		int from = ((previous.nextIndex < all.size()) ? previous.nextIndex : 0);
+		int to = Math.min(all.size(), from + MAXIMUM_RECORDS_PER_SEND);
+		Duration delay = ((to < all.size()) ? SETTLE_TIME : REPEAT_INTERVAL);
+		this.differences.put(peer, new Difference(local, digest, now.plus(delay), to));
+		return List.copyOf(all.subList(from, to));
 	}
 
 	/**
 	 * A peer whose digest differs.
 	 *
-	 * @param own the own digest
-	 * @param theirs the peer's
-	 * @param tellAt when the peer is told, if nothing changes until then
-	 * @param next the place of the next record to tell
+	 * @param local the local digest
+	 * @param remote the peer's digest
+	 * @param sendAt the time at which records are sent if neither digest changes before
+	 * @param nextIndex the index of the next record to send
 	 */
-	private record Difference(long own, long theirs, Instant tellAt, int next) {
+	private record Difference(long local, long remote, Instant sendAt, int nextIndex) {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectRecord.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectRecord.java
@@ -8,13 +8,13 @@
 import org.banyancove.core.EndpointId;
 
 /**
- * What an entry tells its peers of one suspect. Taking it in twice, or in another order,
- * changes nothing.
+ * An entry's record of one suspect, which it sends to its peers. Merging records is
+ * idempotent and commutative.
  *
  * @param fingerprint the suspect
- * @param crashes the crashes of endpoints that it ran at
- * @param clearedAt when it last ended well, empty if it did not
- * @param runningAt the endpoints that it runs at through this entry
+ * @param crashes the crashes of endpoints at which it was running
+ * @param clearedAt the time at which it last completed, empty if it did not
+ * @param runningAt the endpoints at which it is running through this entry
  */
 public record SuspectRecord(Fingerprint fingerprint, List<Crash> crashes, Optional<Instant> clearedAt,
 		Set<EndpointId> runningAt) {
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectSystem.java
@@ -20,25 +20,25 @@
 import org.banyancove.core.error.ErrorKind;
 
 /**
- * Finds requests that crash endpoints and stops them, together with their repeats.
+ * Detects requests that crash endpoints and refuses them and their repeats.
  * <p>
- * What ran at an endpoint when it crashed is suspect. Suspects run apart: no two of them
- * at one endpoint, and no fingerprint twice at a time, so that the next crash tells which
- * of them it was. One that ends well is cleared. One that two crashes have in common, and
- * no other suspect does, gets its final answer. Crashes of the same endpoints that
- * another suspect shares prove nothing yet: both run on, apart.
+ * A request that was running at an endpoint when it crashed is suspect. Suspects run
+ * isolated: no two of them at one endpoint, and no fingerprint more than once at a time,
+ * so that the next crash identifies its cause. A suspect that completes is cleared. A
+ * suspect that ran at two crashes is refused, unless another suspect ran at all the same
+ * crashes: these do not identify the cause, and both continue to run isolated.
  * <p>
- * Belongs to the tick loop; not safe for use by several threads.
+ * Confined to the tick loop; not thread-safe.
  */
 public final class SuspectSystem {
 
 	private static final double SUSPECT_WEIGHT = 1;
 
-	private static final double CONVICTING_WEIGHT = 2;
+	private static final double CONFIRMATION_WEIGHT = 2;
 
-	private static final Duration FORGET_AFTER = Duration.ofMinutes(30);
+	private static final Duration RETENTION = Duration.ofMinutes(30);
 
-	private static final Duration PEER_RUN_KNOWN_FOR = Duration.ofSeconds(10);
+	private static final Duration PEER_RUN_RETENTION = Duration.ofSeconds(10);
 
 	private final InstantSource clock;
 
@@ -46,7 +46,7 @@
 
 	private final SuspectTable suspects = new SuspectTable();
 
-	private final LossJudge judge = new LossJudge();
+	private final LossClassifier lossClassifier = new LossClassifier();
 
 	private final Map<EndpointId, Map<RequestId, Fingerprint>> running = new HashMap<>();
 
@@ -59,8 +59,8 @@
 	/**
 	 * Creates the system.
 	 * @param clock the clock
-	 * @param settleTime how long after a crash the peers' reports of it may still come
-	 * in; zero if there are no peers
+	 * @param settleTime the time after a crash in which peers' reports of it may still
+	 * arrive; zero if there are no peers
 	 */
 	public SuspectSystem(InstantSource clock, Duration settleTime) {
 		this.clock = clock;
@@ -78,12 +78,12 @@
 			return new SuspectDecision.NotSuspect();
 		}
 		Instant now = this.clock.instant();
-		suspect.seen(now);
-		Duration unsettled = unsettled(suspect, now);
-		if (unsettled.isPositive() && !suspect.isConvicted()) {
-			return new SuspectDecision.Wait(unsettled);
+		suspect.updateLastSeen(now);
+		Duration remainingSettleTime = remainingSettleTime(suspect, now);
+		if (remainingSettleTime.isPositive() && !suspect.isConfirmed()) {
+			return new SuspectDecision.Wait(remainingSettleTime);
 		}
-		if (isConvicted(suspect)) {
+		if (isConfirmed(suspect)) {
 			return new SuspectDecision.Refused(ErrorKind.REQUEST_CRASHES_ENDPOINTS);
 		}
 		if (!this.suspectRuns.getOrDefault(fingerprint, Set.of()).isEmpty()) {
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Notes that an attempt was sent.
+	 * Records that an attempt was sent.
 	 * @param request the request
 	 * @param fingerprint the request's fingerprint
 	 * @param endpoint the endpoint
@@ -101,8 +101,8 @@
 	public void started(RequestId request, Fingerprint fingerprint, EndpointId endpoint) {
 		Suspect suspect = this.suspects.find(fingerprint);
 		if (suspect != null && isSuspect(suspect)) {
-			Invariant.check(!suspect.isConvicted(), "request %s crashed two endpoints and is run again", request);
-			Invariant.check(!runsSuspect(endpoint), "suspect request %s sent to %s, which runs another", request,
+			Invariant.check(!suspect.isConfirmed(), "request %s crashed two endpoints and was started again", request);
+			Invariant.check(!runsSuspect(endpoint), "suspect request %s sent to %s, which is running another", request,
 					endpoint);
 			this.suspectRuns.computeIfAbsent(fingerprint, (key) -> new HashSet<>(2)).add(endpoint);
 		}
@@ -110,12 +110,12 @@
 	}
 
 	/**
-	 * Notes that an attempt ended while its endpoint lived on.
+	 * Records that an attempt ended without the loss of its endpoint.
 	 * @param request the request
 	 * @param endpoint the endpoint
-	 * @param well whether the whole answer came, which clears the request
+	 * @param completed whether the complete answer was received, which clears the request
 	 */
-	public void ended(RequestId request, EndpointId endpoint, boolean well) {
+	public void ended(RequestId request, EndpointId endpoint, boolean completed) {
 		Map<RequestId, Fingerprint> requests = this.running.get(endpoint);
 		if (requests == null) {
 			return;
@@ -127,50 +127,51 @@
 		if (fingerprint == null) {
 			return;
 		}
-		forgetRun(fingerprint, endpoint);
+		removeRun(fingerprint, endpoint);
 		Suspect suspect = this.suspects.find(fingerprint);
-		if (well && suspect != null && !suspect.isConvicted()) {
+		if (completed && suspect != null && !suspect.isConfirmed()) {
 			suspect.clear(this.clock.instant());
 		}
 	}
 
 	/**
-	 * Notes a reclaim notice. Losses in its zone that looked like crashes may turn out to
-	 * be part of a wave.
+	 * Records a reclaim notice. Losses in its zone that were classified as crashes may
+	 * then be reclassified as part of a wave.
 	 * @param vm the VM
 	 * @param zone its zone
 	 */
 	public void noticeSeen(VmId vm, ZoneName zone) {
-		this.judge.notice(vm, zone, this.clock.instant());
-		excuseWave(zone);
+		this.lossClassifier.recordNotice(vm, zone, this.clock.instant());
+		reclassifyLosses(zone);
 	}
 
 	/**
-	 * Notes that an endpoint was lost with all that ran there.
+	 * Records that an endpoint was lost with all requests that were running there.
 	 * @param endpoint the endpoint
 	 * @param vm its VM
 	 * @param zone the VM's zone
-	 * @return why it was lost, as far as can be told now
+	 * @return the cause of the loss as far as known
 	 */
 	public LossCause endpointLost(EndpointId endpoint, VmId vm, ZoneName zone) {
 		Map<RequestId, Fingerprint> requests = this.running.getOrDefault(endpoint, Map.of());
 		this.running.remove(endpoint);
-		Set<Fingerprint> ran = new HashSet<>(requests.values());
-		ran.forEach((fingerprint) -> forgetRun(fingerprint, endpoint));
+		Set<Fingerprint> fingerprints = new HashSet<>(requests.values());
+		fingerprints.forEach((fingerprint) -> removeRun(fingerprint, endpoint));
 		Instant now = this.clock.instant();
-		Loss loss = new Loss(new Crash(endpoint, now, false), vm, zone, ran, ran.stream().anyMatch(this::isSuspect));
-		this.judge.lost(loss);
-		LossCause cause = this.judge.judge(loss);
+		Loss loss = new Loss(new Crash(endpoint, now, false), vm, zone, fingerprints,
+				fingerprints.stream().anyMatch(this::isSuspect));
+		this.lossClassifier.recordLoss(loss);
+		LossCause cause = this.lossClassifier.classify(loss);
 		if (cause != LossCause.RECLAIM) {
-			ran.forEach((fingerprint) -> mark(fingerprint, loss.crash(), now));
+			fingerprints.forEach((fingerprint) -> recordCrash(fingerprint, loss.crash(), now));
 		}
-		excuseWave(zone);
+		reclassifyLosses(zone);
 		return cause;
 	}
 
 	/**
-	 * Returns what the peers should know.
-	 * @return a record for each suspect
+	 * Returns the records of all suspects.
+	 * @return one record for each suspect
 	 */
 	public List<SuspectRecord> records() {
 		List<SuspectRecord> records = new ArrayList<>(this.suspects.size());
@@ -181,8 +182,8 @@
 	}
 
 	/**
-	 * Returns a digest over which suspects ran at which crashes, the same at all entries
-	 * that know the same, whenever each noticed a crash.
+	 * Returns a digest of which suspects ran at which crashes. It does not depend on the
+	 * times of the crashes, which entries observe at different times.
 	 * @return the digest, 0 if there is no suspect
 	 */
 	public long digest() {
@@ -196,8 +197,9 @@
 	}
 
 	/**
-	 * Takes the suspects that this entry marked since the last call, for its peers.
-	 * @return what is known of them
+	 * Removes and returns the suspects for which this entry recorded a crash since the
+	 * last call.
+	 * @return the records to send to the peers
 	 */
 	public List<SuspectRecord> takeChanged() {
 		List<SuspectRecord> records = new ArrayList<>(this.changed.size());
@@ -212,7 +214,7 @@
 	}
 
 	/**
-	 * Takes in what a peer knows.
+	 * Merges the records of a peer.
 	 * @param records the peer's records
 	 */
 	public void merge(Collection<SuspectRecord> records) {
@@ -226,17 +228,17 @@
 	}
 
 	/**
-	 * Forgets what is old.
+	 * Removes expired suspects, losses and runs of peers.
 	 */
 	public void tick() {
 		Instant now = this.clock.instant();
-		this.suspects.forget(now, FORGET_AFTER);
-		this.judge.forget(now);
-		this.peerRuns.values().removeIf((seen) -> seen.plus(PEER_RUN_KNOWN_FOR).isBefore(now));
+		this.suspects.removeExpired(now, RETENTION);
+		this.lossClassifier.removeExpired(now);
+		this.peerRuns.values().removeIf((reportedAt) -> reportedAt.plus(PEER_RUN_RETENTION).isBefore(now));
 	}
 
 	/**
-	 * Returns how many requests are under suspicion or stopped.
+	 * Returns the number of suspect and refused requests.
 	 * @return the number of fingerprints
 	 */
 	public int size() {
@@ -253,20 +255,20 @@
 				this.suspectRuns.getOrDefault(suspect.fingerprint(), Set.of()));
 	}
 
-	private void mark(Fingerprint fingerprint, Crash crash, Instant now) {
+	private void recordCrash(Fingerprint fingerprint, Crash crash, Instant now) {
 		Suspect suspect = this.suspects.findOrAdd(fingerprint, now);
-		suspect.seen(now);
+		suspect.updateLastSeen(now);
 		suspect.addCrash(crash);
 		this.changed.add(fingerprint);
 	}
 
-	private void excuseWave(ZoneName zone) {
-		for (Loss loss : this.judge.recentLosses(zone)) {
-			switch (this.judge.judge(loss)) {
+	private void reclassifyLosses(ZoneName zone) {
+		for (Loss loss : this.lossClassifier.recentLosses(zone)) {
+			switch (this.lossClassifier.classify(loss)) {
 				case CRASH -> {
 				}
-				case WAVE -> loss.ran().forEach((fingerprint) -> markInWave(fingerprint, loss.crash()));
-				case RECLAIM -> loss.ran().forEach((fingerprint) -> excuse(fingerprint, loss.crash()));
+				case WAVE -> loss.fingerprints().forEach((fingerprint) -> markInWave(fingerprint, loss.crash()));
+				case RECLAIM -> loss.fingerprints().forEach((fingerprint) -> removeCrash(fingerprint, loss.crash()));
 			}
 		}
 	}
@@ -278,39 +280,39 @@
 		}
 	}
 
-	private void excuse(Fingerprint fingerprint, Crash crash) {
+	private void removeCrash(Fingerprint fingerprint, Crash crash) {
 		Suspect suspect = this.suspects.find(fingerprint);
-		if (suspect != null && !suspect.isConvicted()) {
-			suspect.excuse(crash);
+		if (suspect != null && !suspect.isConfirmed()) {
+			suspect.removeCrash(crash);
 		}
 	}
 
-	private Duration unsettled(Suspect suspect, Instant now) {
-		if (suspect.weight() < CONVICTING_WEIGHT) {
+	private Duration remainingSettleTime(Suspect suspect, Instant now) {
+		if (suspect.weight() < CONFIRMATION_WEIGHT) {
 			return Duration.ZERO;
 		}
 		return Duration.between(now, suspect.lastCrashAt().plus(this.settleTime));
 	}
 
-	private boolean isConvicted(Suspect suspect) {
-		if (!suspect.isConvicted() && suspect.weight() >= CONVICTING_WEIGHT && !isShared(suspect)) {
-			suspect.convict();
-			clearThoseBeside(suspect);
+	private boolean isConfirmed(Suspect suspect) {
+		if (!suspect.isConfirmed() && suspect.weight() >= CONFIRMATION_WEIGHT && !sharesAllCrashes(suspect)) {
+			suspect.confirm();
+			attributeCrashes(suspect);
 		}
-		return suspect.isConvicted();
+		return suspect.isConfirmed();
 	}
 
-	private void clearThoseBeside(Suspect convicted) {
+	private void attributeCrashes(Suspect confirmed) {
 		for (Suspect other : this.suspects.all()) {
-			if (other != convicted && !other.isConvicted()) {
-				convicted.crashes().forEach(other::excuse);
+			if (other != confirmed && !other.isConfirmed()) {
+				confirmed.crashes().forEach(other::removeCrash);
 			}
 		}
 	}
 
-	private boolean isShared(Suspect suspect) {
-		// Only one request crashes an endpoint. If another suspect ran at all the same
-		// crashes, either of them may be the one.
+	private boolean sharesAllCrashes(Suspect suspect) {
+		// A crash is caused by one request. If another suspect ran at all the same
+		// crashes, either of them may be the cause.
 		for (Suspect other : this.suspects.all()) {
 			if (other != suspect && suspect.crashes().stream().allMatch(other::ranAt)) {
 				return true;
@@ -332,14 +334,14 @@
 	}
 
 	private static boolean isSuspect(Suspect suspect) {
-		return suspect.isConvicted() || suspect.weight() >= SUSPECT_WEIGHT;
+		return suspect.isConfirmed() || suspect.weight() >= SUSPECT_WEIGHT;
 	}
 
 	private boolean runsSuspect(EndpointId endpoint) {
 		return this.suspectRuns.values().stream().anyMatch((endpoints) -> endpoints.contains(endpoint));
 	}
 
-	private void forgetRun(Fingerprint fingerprint, EndpointId endpoint) {
+	private void removeRun(Fingerprint fingerprint, EndpointId endpoint) {
 		Set<EndpointId> endpoints = this.suspectRuns.get(fingerprint);
 		if (endpoints != null) {
 			endpoints.remove(endpoint);
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectTable.java
@@ -9,17 +9,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The requests under suspicion, by fingerprint. Bounded, and forgotten when not seen for
- * a time.
+ * The suspect requests by fingerprint. Bounded; suspects that were not seen for the
+ * retention time are removed.
  */
 final class SuspectTable {
 
-	static final int MOST_SUSPECTS = 10_000;
+	static final int MAXIMUM_SUSPECTS = 10_000;
 
 	private final Map<Fingerprint, Suspect> suspects = new LinkedHashMap<>(16, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Fingerprint, Suspect> eldest) {
-			return size() > MOST_SUSPECTS;
+			return size() > MAXIMUM_SUSPECTS;
 		}
 	};
 
@@ -28,7 +28,7 @@
 	}
 
 	Suspect findOrAdd(Fingerprint fingerprint, Instant now) {
-		return this.suspects.computeIfAbsent(fingerprint, (added) -> new Suspect(added, now));
+		return this.suspects.computeIfAbsent(fingerprint, (key) -> new Suspect(key, now));
 	}
 
 	Collection<Suspect> all() {
@@ -39,8 +39,8 @@
 		return this.suspects.size();
 	}
 
-	void forget(Instant now, Duration after) {
-		this.suspects.values().removeIf((suspect) -> suspect.lastSeen().plus(after).isBefore(now));
+	void removeExpired(Instant now, Duration retention) {
+		this.suspects.values().removeIf((suspect) -> suspect.lastSeen().plus(retention).isBefore(now));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Finding and stopping requests that crash the endpoints that run them.
+ * Detection and refusal of requests that crash the endpoints that run them.
  * <p>
- * Everything here is pure and runs on the one thread of the tick loop.
+ * All classes are free of I/O and run on the single thread of the tick loop.
  */
 @NullMarked
 package org.banyancove.core.suspect;
--- a/banyancove-core/src/test/java/org/banyancove/core/suspect/DecisionRun.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/suspect/DecisionRun.java
@@ -48,13 +48,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A random run of two entries' decisions over shared endpoints, with faults mixed in.
+ * A randomised simulation of two entries that place requests at shared endpoints, with
+ * fault injection.
  */
 final class DecisionRun {
 
 	enum Fault {
 
-		NOTICE, WAVE, CRASH, LOST_BEFORE_NOTICE, FAILED_ATTEMPT, OLD_LIST, CACHE_GAP, REPEAT_OF_GUILTY
+		NOTICE, WAVE, CRASH, LOST_BEFORE_NOTICE, FAILED_ATTEMPT, OUTDATED_LIST, CACHE_GAP, REPEAT_OF_POISON
 
 	}
 
@@ -62,9 +63,9 @@
 
 	private static final int ZONES = 3;
 
-	private static final AccountName GUILTY_ACCOUNT = new AccountName("account-0");
+	private static final AccountName POISON_ACCOUNT = new AccountName("account-0");
 
-	private static final Fingerprint GUILTY = Fingerprint.of(GUILTY_ACCOUNT, new byte[] { 66 });
+	private static final Fingerprint POISON = Fingerprint.of(POISON_ACCOUNT, new byte[] { 66 });
 
 	private final Random random;
 
@@ -90,9 +91,9 @@
 
 	private int stopped;
 
-	private int guiltyCrashes;
+	private int poisonCrashes;
 
-	private int innocentsStopped;
+	private int harmlessStopped;
 
 	private final Map<Fingerprint, Integer> unannouncedLosses = new LinkedHashMap<>();
 
@@ -113,21 +114,21 @@
 			this.entries.forEach(Entry::check);
 		}
 		drain();
-		return "steps %d, faults %s, completed %d, refused %d, stopped %d, innocents stopped %d, crashes by the guilty request %d"
-			.formatted(steps, this.faults, this.completed, this.refused, this.stopped, this.innocentsStopped,
-					this.guiltyCrashes);
+		return "steps %d, faults %s, completed %d, refused %d, stopped %d, harmless stopped %d, crashes by the poison request %d"
+			.formatted(steps, this.faults, this.completed, this.refused, this.stopped, this.harmlessStopped,
+					this.poisonCrashes);
 	}
 
 	int completed() {
 		return this.completed;
 	}
 
-	int guiltyCrashes() {
-		return this.guiltyCrashes;
+	int poisonCrashes() {
+		return this.poisonCrashes;
 	}
 
-	int innocentsStopped() {
-		return this.innocentsStopped;
+	int harmlessStopped() {
+		return this.harmlessStopped;
 	}
 
 	int faultKinds() {
@@ -137,23 +138,23 @@
 	private void step() {
 		Entry entry = this.entries.get(this.random.nextInt(2));
 		switch (this.random.nextInt(40)) {
-			case 0 -> notice(anyAlive());
-			case 1 -> rare(Fault.WAVE, this::wave);
-			case 2 -> rare(Fault.CRASH, () -> anyAlive().ifPresent((id) -> vanish(id)));
-			case 3 -> entry.arrive(GUILTY_ACCOUNT, GUILTY);
-			case 4 -> oldList(entry);
-			case 5 -> gossip();
-			case 6, 7 -> report(entry);
+			case 0 -> announceReclaim(randomLiveEndpoint());
+			case 1 -> withLowProbability(Fault.WAVE, this::reclaimWave);
+			case 2 -> withLowProbability(Fault.CRASH, () -> randomLiveEndpoint().ifPresent((id) -> loseEndpoint(id)));
+			case 3 -> entry.arrive(POISON_ACCOUNT, POISON);
+			case 4 -> outdatedList(entry);
+			case 5 -> exchangeSuspects();
+			case 6, 7 -> reportLoad(entry);
 			case 8, 9 -> cacheEvent(entry);
 			case 10 -> startVm();
-			case 11 -> endNotices();
+			case 11 -> reclaimNoticedVms();
 			case 12, 13 -> entry.tick();
-			case 14, 15, 16, 17, 18, 19, 20, 21, 22, 23 -> entry.arrive(account(), innocent());
+			case 14, 15, 16, 17, 18, 19, 20, 21, 22, 23 -> entry.arrive(randomAccount(), newFingerprint());
 			default -> entry.progress();
 		}
 	}
 
-	private void rare(Fault fault, Runnable action) {
+	private void withLowProbability(Fault fault, Runnable action) {
 		if (this.random.nextInt(8) == 0) {
 			count(fault);
 			action.run();
@@ -177,37 +178,37 @@
 		this.entries.forEach((entry) -> entry.table.put(definition, this.now));
 	}
 
-	private Optional<EndpointId> anyAlive() {
+	private Optional<EndpointId> randomLiveEndpoint() {
 		List<EndpointId> ids = List.copyOf(this.alive.keySet());
 		return (ids.isEmpty() ? Optional.empty() : Optional.of(ids.get(this.random.nextInt(ids.size()))));
 	}
 
-	private void notice(Optional<EndpointId> endpoint) {
+	private void announceReclaim(Optional<EndpointId> endpoint) {
 		endpoint.filter((id) -> this.alive.size() > 3).ifPresent((id) -> {
 			count(Fault.NOTICE);
 			EndpointDefinition definition = Objects.requireNonNull(this.alive.remove(id));
 			this.noticed.put(id, definition);
 			this.leaving.put(id, definition);
-			this.entries.forEach((entry) -> entry.notice(definition));
+			this.entries.forEach((entry) -> entry.announceReclaim(definition));
 		});
 	}
 
-	private void wave() {
+	private void reclaimWave() {
 		ZoneName zone = new ZoneName("zone" + this.random.nextInt(ZONES));
 		for (EndpointDefinition definition : List.copyOf(this.alive.values())) {
 			if (definition.zone().equals(zone)) {
 				if (this.random.nextInt(3) == 0) {
 					count(Fault.LOST_BEFORE_NOTICE);
-					vanish(definition.id());
+					loseEndpoint(definition.id());
 				}
 				else {
-					notice(Optional.of(definition.id()));
+					announceReclaim(Optional.of(definition.id()));
 				}
 			}
 		}
 	}
 
-	private void endNotices() {
+	private void reclaimNoticedVms() {
 		for (EndpointDefinition definition : List.copyOf(this.leaving.values())) {
 			this.leaving.remove(definition.id());
 			this.entries.forEach((entry) -> entry.lost(definition));
@@ -215,46 +216,47 @@
 		}
 	}
 
-	private void vanish(EndpointId id) {
+	private void loseEndpoint(EndpointId id) {
 		EndpointDefinition definition = Objects.requireNonNull(this.alive.remove(id));
 		this.entries.forEach((entry) -> entry.lost(definition));
 	}
 
 	private void crash(EndpointId id) {
 		if (this.alive.containsKey(id)) {
-			vanish(id);
+			loseEndpoint(id);
 			return;
 		}
 		EndpointDefinition definition = Objects.requireNonNull(this.leaving.remove(id));
 		this.entries.forEach((entry) -> entry.lost(definition));
 	}
 
-	private void stopped(Fingerprint fingerprint) {
-		if (fingerprint.equals(GUILTY)) {
+	private void recordStopped(Fingerprint fingerprint) {
+		if (fingerprint.equals(POISON)) {
 			this.stopped++;
 			return;
 		}
-		// Faults here are so dense that an innocent request now and then really is at two
-		// endpoints that vanish for other reasons; nothing tells it from a guilty one.
-		this.innocentsStopped++;
+		// Faults are so frequent here that a harmless request occasionally runs at two
+		// endpoints that are lost for other reasons; it is then indistinguishable from
+		// the poison request.
+		this.harmlessStopped++;
 		int losses = this.unannouncedLosses.getOrDefault(fingerprint, 0);
-		assertThat(losses).as("endpoints lost under a stopped request").isGreaterThanOrEqualTo(2);
+		assertThat(losses).as("endpoints lost while running a refused request").isGreaterThanOrEqualTo(2);
 	}
 
-	private void oldList(Entry entry) {
-		count(Fault.OLD_LIST);
+	private void outdatedList(Entry entry) {
+		count(Fault.OUTDATED_LIST);
 		this.noticed.values().forEach((definition) -> entry.table.put(definition, this.now.plusSeconds(5)));
 	}
 
-	private void gossip() {
+	private void exchangeSuspects() {
 		List<SuspectRecord> records = this.entries.get(0).suspects.records();
 		this.entries.get(0).suspects.merge(this.entries.get(1).suspects.records());
 		this.entries.get(1).suspects.merge(records);
-		anyAlive().ifPresent((id) -> this.entries.get(0).table.peerSent(id, 2, this.now));
+		randomLiveEndpoint().ifPresent((id) -> this.entries.get(0).table.peerSent(id, 2, this.now));
 	}
 
-	private void report(Entry entry) {
-		anyAlive().ifPresent(
+	private void reportLoad(Entry entry) {
+		randomLiveEndpoint().ifPresent(
 				(id) -> entry.table.loadReported(id, new LoadReport(this.now.minusMillis(this.random.nextInt(2000)),
 						this.random.nextInt(6), this.random.nextInt(3), 100, this.random.nextInt(1000), 1000)));
 	}
@@ -263,15 +265,15 @@
 		count(Fault.CACHE_GAP);
 		CacheChange.Kind kind = List.of(CacheChange.Kind.values()).get(this.random.nextInt(2));
 		PromptPrefix prefix = new PromptPrefix(this.random.nextInt(20), 64);
-		anyAlive()
+		randomLiveEndpoint()
 			.ifPresent((id) -> entry.table.cacheChanged(id, new CacheChange(this.random.nextInt(1000), kind, prefix)));
 	}
 
-	private AccountName account() {
+	private AccountName randomAccount() {
 		return new AccountName("account-" + this.random.nextInt(5));
 	}
 
-	private Fingerprint innocent() {
+	private Fingerprint newFingerprint() {
 		this.count++;
 		return new Fingerprint(1, this.count);
 	}
@@ -283,7 +285,7 @@
 			this.entries.forEach(Entry::tick);
 		}
 		for (Entry entry : this.entries) {
-			assertThat(entry.calls).as("every request ends, whatever happened").isEmpty();
+			assertThat(entry.calls).as("every request ends under all faults").isEmpty();
 			assertThat(entry.admission.runningCount(SERVICE)).isZero();
 			assertThat(entry.admission.waitingCount(SERVICE)).isZero();
 			assertThat(entry.table.ownInFlight(SERVICE)).isZero();
@@ -291,7 +293,7 @@
 	}
 
 	/**
-	 * One entry: its core and the requests that it holds.
+	 * One entry with its core systems and requests.
 	 */
 	private final class Entry {
 
@@ -313,17 +315,17 @@
 			DecisionRun.this.count++;
 			RequestId id = new RequestId("r" + DecisionRun.this.count);
 			Call call = new Call(id, account, fingerprint, DecisionRun.this.now);
-			if (fingerprint.equals(GUILTY)) {
-				count(Fault.REPEAT_OF_GUILTY);
+			if (fingerprint.equals(POISON)) {
+				count(Fault.REPEAT_OF_POISON);
 			}
 			this.calls.put(id, call);
-			decided(this.admission.offer(new AdmissionRequest(id, account, SERVICE, DecisionRun.this.profile,
+			applyDecision(this.admission.offer(new AdmissionRequest(id, account, SERVICE, DecisionRun.this.profile,
 					DecisionRun.this.now, 100, 1)));
 		}
 
 		void tick() {
 			this.suspects.tick();
-			this.admission.tick().forEach(this::decided);
+			this.admission.tick().forEach(this::applyDecision);
 			for (Call call : List.copyOf(this.calls.values())) {
 				if (call.admitted && call.endpoint == null && this.calls.containsKey(call.id)) {
 					place(call);
@@ -331,7 +333,7 @@
 			}
 		}
 
-		void notice(EndpointDefinition definition) {
+		void announceReclaim(EndpointDefinition definition) {
 			this.suspects.noticeSeen(definition.vm(), definition.zone());
 			this.table.markLeaving(definition.vm(), DecisionRun.this.now.plusSeconds(30), DecisionRun.this.now);
 		}
@@ -344,7 +346,7 @@
 					if (!DecisionRun.this.noticed.containsKey(definition.id())) {
 						DecisionRun.this.unannouncedLosses.merge(call.fingerprint, 1, Integer::sum);
 					}
-					failed(call);
+					attemptFailed(call);
 				}
 			}
 		}
@@ -356,8 +358,8 @@
 			}
 			Call call = running.get(DecisionRun.this.random.nextInt(running.size()));
 			EndpointId endpoint = call.endpoint();
-			if (call.fingerprint.equals(GUILTY)) {
-				DecisionRun.this.guiltyCrashes++;
+			if (call.fingerprint.equals(POISON)) {
+				DecisionRun.this.poisonCrashes++;
 				crash(endpoint);
 			}
 			else if (!call.firstToken) {
@@ -368,7 +370,7 @@
 				count(Fault.FAILED_ATTEMPT);
 				this.suspects.ended(call.id, endpoint, false);
 				this.table.attemptEnded(endpoint, call.id, AttemptOutcome.FAILED, DecisionRun.this.now);
-				failed(call);
+				attemptFailed(call);
 			}
 			else {
 				this.table.tokensSeen(endpoint, call.id, 10, DecisionRun.this.now);
@@ -393,7 +395,7 @@
 				.isLessThanOrEqualTo(3 + 0.2 * each.firstAttempts() + 1e-6));
 		}
 
-		private void decided(AdmissionDecision decision) {
+		private void applyDecision(AdmissionDecision decision) {
 			Call call = Objects.requireNonNull(this.calls.get(decision.request()));
 			if (decision instanceof AdmissionDecision.Admitted) {
 				call.admitted = true;
@@ -414,13 +416,13 @@
 			Set<EndpointId> excluded = new HashSet<>(call.failedAt);
 			switch (this.suspects.mayStart(call.fingerprint)) {
 				case SuspectDecision.NotSuspect notSuspect -> place(call, excluded);
-				case SuspectDecision.RunApart apart -> {
-					excluded.addAll(apart.excluded());
+				case SuspectDecision.RunApart isolated -> {
+					excluded.addAll(isolated.excluded());
 					place(call, excluded);
 				}
 				case SuspectDecision.Wait wait -> assertThat(wait.retryAfter()).isPositive();
-				case SuspectDecision.Refused stop -> {
-					stopped(call.fingerprint);
+				case SuspectDecision.Refused refusal -> {
+					recordStopped(call.fingerprint);
 					end(call);
 				}
 			}
@@ -444,7 +446,7 @@
 			}
 		}
 
-		private void failed(Call call) {
+		private void attemptFailed(Call call) {
 			call.failedAt.add(call.endpoint());
 			call.endpoint = null;
 			RetryDecision decision = this.retries.decide(new RetryRequest(SERVICE, DecisionRun.this.profile, true,
@@ -466,7 +468,7 @@
 		private void end(Call call) {
 			assertThat(this.calls.remove(call.id)).as("a request ends once").isNotNull();
 			if (call.admitted) {
-				new ArrayList<>(this.admission.released(SERVICE, call.id)).forEach(this::decided);
+				new ArrayList<>(this.admission.released(SERVICE, call.id)).forEach(this::applyDecision);
 			}
 		}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectExchangeTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectExchangeTests.java
@@ -21,17 +21,17 @@
 
 	private static final int SUSPECTS = 40;
 
-	private static final double LOSS = 0.3;
+	private static final double LOSS_PROBABILITY = 0.3;
 
 	private Instant now = Instant.EPOCH;
 
-	// Forty requests crash two endpoints each, and a third of what an entry tells its
-	// peers is lost, heartbeats included; a third entry starts when all is over. Told
-	// once only, some entry would run some of the requests again. By the digests each
-	// peer finds out, and is told until it knows all; then nothing more is sent.
+	// 40 requests crash two endpoints each, and 30 % of the messages between entries are
+	// lost, heartbeats included; a third entry starts after the last crash. If records
+	// were sent only once, some entry would run some of the requests again. The digests
+	// reveal the missing records, which are sent until no digest differs.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3 })
-	void aPeerThatMissedNoticesOrStartedLaterStopsTheRequestsToo(long seed) {
+	void peerThatMissedNoticesOrStartedLaterRefusesTheRequests(long seed) {
 		Random random = new Random(seed);
 		Entry first = new Entry(1);
 		Entry second = new Entry(2);
@@ -39,17 +39,17 @@
 			first.crash(number, "a" + number);
 			first.crash(number, "b" + number);
 			for (SuspectRecord record : first.suspects.takeChanged()) {
-				if (random.nextDouble() >= LOSS) {
+				if (random.nextDouble() >= LOSS_PROBABILITY) {
 					second.suspects.merge(List.of(record));
 				}
 			}
 		}
 		Entry third = new Entry(3);
 		assertThat(second.suspects.digest()).isNotEqualTo(first.suspects.digest());
-		int told = 0;
+		int sent = 0;
 		for (int round = 0; round < 900; round++) {
 			this.now = this.now.plusSeconds(1);
-			told += heartbeat(second, first, random) + heartbeat(third, second, random);
+			sent += heartbeat(second, first, random) + heartbeat(third, second, random);
 		}
 		for (Entry entry : List.of(second, third)) {
 			assertThat(entry.suspects.digest()).isEqualTo(first.suspects.digest());
@@ -57,14 +57,15 @@
 				assertThat(entry.suspects.mayStart(fingerprint(number))).isInstanceOf(SuspectDecision.Refused.class);
 			}
 		}
-		assertThat(told).isLessThan(20 * SUSPECTS);
+		assertThat(sent).isLessThan(20 * SUSPECTS);
 		assertThat(first.exchange.heard(second.incarnation, second.suspects.digest())).isEmpty();
 	}
 
-	// One entry cleared a request that the other still suspects. They differ for as long
-	// as both remember it, and must not tell each other with every heartbeat.
+	// One entry cleared a request that the other still suspects. Their digests
+	// differ until the suspect expires; records must not be sent with every
+	// heartbeat.
 	@Test
-	void aLastingDifferenceIsToldAboutSeldom() {
+	void persistentDifferenceIsSentRarely() {
 		Entry first = new Entry(1);
 		Entry second = new Entry(2);
 		first.crash(0, "a");
@@ -72,26 +73,26 @@
 		this.now = this.now.plusSeconds(1);
 		second.suspects.started(new RequestId("r"), fingerprint(0), new EndpointId("c"));
 		second.suspects.ended(new RequestId("r"), new EndpointId("c"), true);
-		int told = 0;
+		int sent = 0;
 		for (int round = 0; round < 600; round++) {
 			this.now = this.now.plusSeconds(1);
-			told += heartbeat(second, first, new Random(1));
+			sent += heartbeat(second, first, new Random(1));
 		}
-		assertThat(told).isBetween(1, 6);
+		assertThat(sent).isBetween(1, 6);
 		assertThat(second.suspects.mayStart(fingerprint(0))).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
 	private int heartbeat(Entry from, Entry to, Random random) {
-		if (random.nextDouble() < LOSS) {
+		if (random.nextDouble() < LOSS_PROBABILITY) {
 			return 0;
 		}
-		List<SuspectRecord> told = new ArrayList<>(to.exchange.heard(from.incarnation, from.suspects.digest()));
-		for (SuspectRecord record : told) {
-			if (random.nextDouble() >= LOSS) {
+		List<SuspectRecord> sent = new ArrayList<>(to.exchange.heard(from.incarnation, from.suspects.digest()));
+		for (SuspectRecord record : sent) {
+			if (random.nextDouble() >= LOSS_PROBABILITY) {
 				from.suspects.merge(List.of(record));
 			}
 		}
-		return told.size();
+		return sent.size();
 	}
 
 	private static Fingerprint fingerprint(int number) {
--- a/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectSystemTests.java
@@ -18,11 +18,11 @@
 
 class SuspectSystemTests {
 
-	private static final Fingerprint GUILTY = Fingerprint.of(new AccountName("a"), new byte[] { 1 });
+	private static final Fingerprint POISON = Fingerprint.of(new AccountName("a"), new byte[] { 1 });
 
-	private static final Fingerprint INNOCENT = Fingerprint.of(new AccountName("a"), new byte[] { 2 });
+	private static final Fingerprint HARMLESS = Fingerprint.of(new AccountName("a"), new byte[] { 2 });
 
-	private static final Fingerprint OTHER_INNOCENT = Fingerprint.of(new AccountName("a"), new byte[] { 3 });
+	private static final Fingerprint OTHER_HARMLESS = Fingerprint.of(new AccountName("a"), new byte[] { 3 });
 
 	private static final SuspectDecision REFUSED = new SuspectDecision.Refused(ErrorKind.REQUEST_CRASHES_ENDPOINTS);
 
@@ -32,107 +32,111 @@
 
 	private final SuspectSystem peer = system();
 
-	// A request crashes its endpoint, and an innocent one ran beside it. Both are run
-	// again, apart; the innocent one ends well, the other crashes a second endpoint and
-	// gets its final answer, and so does its caller's repeat through another entry.
+	// A request crashes its endpoint while a harmless one is running there. Both
+	// run again, isolated; the harmless one completes, the other crashes a second
+	// endpoint and is refused, as is its caller's repeat through another entry.
 	@Test
-	void aRequestThatCrashedTwoEndpointsIsStoppedEverywhereAndAnInnocentOneCleared() {
-		run("1", GUILTY, "e1");
-		run("2", INNOCENT, "e1");
+	void requestThatCrashedTwoEndpointsIsRefusedAtAllEntriesAndHarmlessOneCleared() {
+		run("1", POISON, "e1");
+		run("2", HARMLESS, "e1");
 		crash(this.system, "e1");
-		assertThat(this.system.mayStart(GUILTY)).isEqualTo(new SuspectDecision.RunApart(ids("e1")));
-		run("1", GUILTY, "e2");
-		assertThat(this.system.mayStart(INNOCENT)).isEqualTo(new SuspectDecision.RunApart(ids("e1", "e2")));
-		run("2", INNOCENT, "e3");
+		assertThat(this.system.mayStart(POISON)).isEqualTo(new SuspectDecision.RunApart(ids("e1")));
+		run("1", POISON, "e2");
+		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.RunApart(ids("e1", "e2")));
+		run("2", HARMLESS, "e3");
 		crash(this.system, "e2");
-		assertThat(this.system.mayStart(GUILTY)).isInstanceOf(SuspectDecision.Wait.class);
+		assertThat(this.system.mayStart(POISON)).isInstanceOf(SuspectDecision.Wait.class);
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(GUILTY)).isEqualTo(REFUSED);
+		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
 		this.system.ended(new RequestId("2"), new EndpointId("e3"), true);
-		assertThat(this.system.mayStart(INNOCENT)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 		this.peer.merge(this.system.records());
 		this.peer.merge(this.system.records());
-		assertThat(this.peer.mayStart(GUILTY)).isEqualTo(REFUSED);
-		assertThat(this.peer.mayStart(INNOCENT)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.peer.mayStart(POISON)).isEqualTo(REFUSED);
+		assertThat(this.peer.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
-	// The caller repeats the request through two entries, so it crashes one endpoint
-	// through each. Neither entry saw two crashes; together they did.
+	// The caller sends the request through two entries, and it crashes one endpoint
+	// through each. Neither entry observes two crashes; their merged records
+	// contain both.
 	@Test
-	void crashesThatTwoEntriesSawAreAddedUp() {
-		this.system.started(new RequestId("1"), GUILTY, new EndpointId("e1"));
+	void crashesReportedByTwoEntriesAreCombined() {
+		this.system.started(new RequestId("1"), POISON, new EndpointId("e1"));
 		crash(this.system, "e1");
-		this.peer.started(new RequestId("2"), GUILTY, new EndpointId("e2"));
+		this.peer.started(new RequestId("2"), POISON, new EndpointId("e2"));
 		crash(this.peer, "e2");
 		this.system.merge(this.peer.records());
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(GUILTY)).isEqualTo(REFUSED);
+		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
 	}
 
-	// Two entries each run one suspect at the same endpoint, unaware of each other, and
-	// it crashes: each alone would blame its own. Their reports show that both
-	// suspects share both crashes, so neither is stopped until it crashed one alone;
-	// that explains the others, and the innocent one is cleared.
+	// Two entries each run one suspect at the same endpoint, unaware of each other,
+	// and it crashes: each entry alone would attribute the crash to its own
+	// suspect. The merged records show that the suspects share both crashes, so
+	// neither is refused until it crashes an endpoint alone; that explains the
+	// others, and the harmless one is cleared.
 	@Test
-	void anInnocentThatSharedBothCrashesIsNotStopped() {
-		run("1", GUILTY, "e1");
-		run("2", INNOCENT, "e1");
+	void harmlessRequestThatSharedBothCrashesIsNotRefused() {
+		run("1", POISON, "e1");
+		run("2", HARMLESS, "e1");
 		crash(this.system, "e1");
 		this.peer.merge(this.system.records());
-		run("2", INNOCENT, "e2");
-		this.peer.started(new RequestId("3"), GUILTY, new EndpointId("e2"));
+		run("2", HARMLESS, "e2");
+		this.peer.started(new RequestId("3"), POISON, new EndpointId("e2"));
 		crash(this.system, "e2");
 		crash(this.peer, "e2");
 		this.system.merge(this.peer.records());
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(INNOCENT)).isInstanceOf(SuspectDecision.RunApart.class);
-		run("1", GUILTY, "e3");
+		assertThat(this.system.mayStart(HARMLESS)).isInstanceOf(SuspectDecision.RunApart.class);
+		run("1", POISON, "e3");
 		crash(this.system, "e3");
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(GUILTY)).isEqualTo(REFUSED);
-		assertThat(this.system.mayStart(INNOCENT)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
+		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
-	// A wave takes a zone: two VMs have their notice, a third vanishes before its own
-	// comes. What ran on it is not suspect, also if it vanished before the notices.
+	// A wave affects a zone: two VMs have a notice, a third is lost before its own notice
+	// arrives. Requests that were running on it are not suspect, also if it was lost
+	// before the notices.
 	@Test
-	void aReclaimWaveIsNotMistakenForCrashes() {
-		run("1", INNOCENT, "e1");
-		run("2", OTHER_INNOCENT, "e4");
+	void reclaimWaveIsNotClassifiedAsCrashes() {
+		run("1", HARMLESS, "e1");
+		run("2", OTHER_HARMLESS, "e4");
 		crash(this.system, "e1");
-		assertThat(this.system.mayStart(INNOCENT)).isInstanceOf(SuspectDecision.RunApart.class);
+		assertThat(this.system.mayStart(HARMLESS)).isInstanceOf(SuspectDecision.RunApart.class);
 		this.system.noticeSeen(new VmId("vm-e2"), new ZoneName("z"));
 		this.system.noticeSeen(new VmId("vm-e3"), new ZoneName("z"));
-		assertThat(this.system.mayStart(INNOCENT)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 		assertThat(lose(this.system, "e4")).isEqualTo(LossCause.WAVE);
 		assertThat(lose(this.system, "e2")).isEqualTo(LossCause.RECLAIM);
-		assertThat(this.system.mayStart(INNOCENT)).isEqualTo(new SuspectDecision.NotSuspect());
-		assertThat(this.system.mayStart(OTHER_INNOCENT)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.mayStart(OTHER_HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
-	// While a wave lasts, its caller sends a request that crashes what runs it, and
-	// every loss looks like the wave's. The request is run apart after two such losses
-	// and stopped after four, not left to crash endpoints until the wave is over.
+	// A caller sends a request that crashes endpoints during a wave, and each loss is
+	// classified as part of the wave. The request runs isolated after two such losses
+	// and is refused after four, rather than crashing endpoints until the wave ends.
 	@Test
-	void aWaveDoesNotHideARequestThatCrashesEndpoints() {
+	void requestThatCrashesEndpointsIsRefusedDuringWave() {
 		this.system.noticeSeen(new VmId("vm-n1"), new ZoneName("z"));
 		this.system.noticeSeen(new VmId("vm-n2"), new ZoneName("z"));
 		for (int i = 1; i <= 4; i++) {
-			assertThat(this.system.mayStart(GUILTY)).isNotEqualTo(REFUSED);
-			run("g" + i, GUILTY, "e" + i);
+			assertThat(this.system.mayStart(POISON)).isNotEqualTo(REFUSED);
+			run("g" + i, POISON, "e" + i);
 			assertThat(lose(this.system, "e" + i)).isEqualTo(LossCause.WAVE);
 			this.now = this.now.plusSeconds(3);
 		}
-		assertThat(this.system.mayStart(GUILTY)).isEqualTo(REFUSED);
+		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
 	}
 
-	// A rack fails without any notice: three VMs at once, each with other requests.
-	// One request sent many times at once looks alike, but ran at all three.
+	// A rack fails without any notice: three VMs at once, each with different
+	// requests. One request sent many times at once has the same symptom, but ran
+	// at all three.
 	@Test
-	void aZoneThatVanishesAtOnceIsAWaveUnlessOneRequestRanEverywhere() {
+	void simultaneousLossInZoneIsWaveUnlessOneRequestRanAtAllEndpoints() {
 		for (int i = 1; i <= 3; i++) {
 			run("r" + i, Fingerprint.of(new AccountName("a"), new byte[] { (byte) (10 + i) }), "e" + i);
-			run("g" + i, GUILTY, "f" + i);
+			run("g" + i, POISON, "f" + i);
 		}
 		lose(this.system, "e1", "zone-e");
 		lose(this.system, "e2", "zone-e");
@@ -145,11 +149,11 @@
 	}
 
 	@Test
-	void theSameSuspectDoesNotRunTwiceAtATimeAndIsForgottenAfterATime() {
-		run("1", GUILTY, "e1");
+	void suspectRunsOnceAtATimeAndExpires() {
+		run("1", POISON, "e1");
 		crash(this.system, "e1");
-		run("1", GUILTY, "e2");
-		assertThat(this.system.mayStart(GUILTY)).isInstanceOf(SuspectDecision.Wait.class);
+		run("1", POISON, "e2");
+		assertThat(this.system.mayStart(POISON)).isInstanceOf(SuspectDecision.Wait.class);
 		this.system.ended(new RequestId("1"), new EndpointId("e2"), false);
 		this.now = this.now.plus(Duration.ofMinutes(31));
 		this.system.tick();
