--- a/banyancove-core/src/main/java/org/banyancove/core/planner/CapacityPlan.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/CapacityPlan.java
@@ -13,42 +13,42 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * The VMs that carry a target at the lowest price even when the reclaimable VMs of the
- * largest zone are all taken back at once.
+ * The VMs that provide a target capacity at the lowest price even if all reclaimable VMs
+ * of the largest zone are reclaimed at once.
  * <p>
- * On-demand VMs are not reclaimed, so they count in full. Reclaimable ones spread over
- * zones to an even level; a level is worth its price as long as what survives the loss of
- * one zone is cheaper than on-demand.
+ * On-demand VMs are not reclaimed, so they count in full. Reclaimable ones are spread
+ * over zones to an even level; a level is worth its price as long as the capacity that
+ * survives the loss of one zone is cheaper than on-demand capacity.
  *
- * @param counts the number of VMs wanted of each kind, without zeros
- * @param surviving the capacity left after the loss of the largest zone
- * @param pricePerHour the price of an hour
+ * @param counts the planned number of VMs of each kind, without zeros
+ * @param surviving the remaining capacity after the loss of the largest zone
+ * @param pricePerHour the price per hour
  */
 public record CapacityPlan(Map<VmKind, Integer> counts, double surviving, double pricePerHour) {
 
 	private static final double TOLERANCE = 1e-9;
 
-	private static final int MOST_LEVELS = 256;
+	private static final int MAXIMUM_COARSE_LEVELS = 256;
 
 	/**
-	 * Creates the plan with an immutable copy of the counts, in their order: the order of
-	 * {@link Map#copyOf} changes with each start, so a run could not be repeated.
+	 * Creates the plan with an immutable copy of the counts, in their order. The order of
+	 * {@link Map#copyOf} differs between JVM runs, which would not be reproducible.
 	 */
 	public CapacityPlan {
 		counts = Collections.unmodifiableMap(new LinkedHashMap<>(counts));
 	}
 
 	/**
-	 * Finds the cheapest plan.
-	 * @param target the capacity to have after the loss of a zone, not negative
-	 * @param offers what the cloud sells
-	 * @param limits the most that can be had of a kind, where starts are refused: what
-	 * runs already; kinds without a limit are not in it
+	 * Returns the cheapest plan.
+	 * @param target the capacity required after the loss of a zone, not negative
+	 * @param offers the cloud's offers
+	 * @param limits the maximum number of VMs of each kind whose starts are refused,
+	 * which is the number already running; kinds without a limit are absent
 	 * @return the plan; its {@code surviving} is below the target if the offers do not
 	 * suffice
 	 */
 	public static CapacityPlan cheapest(double target, Collection<Offer> offers, Map<VmKind, Integer> limits) {
-		List<Offer> zones = bestByZone(offers.stream().filter(Offer::reclaimable).toList());
+		List<Offer> zones = cheapestByZone(offers.stream().filter(Offer::reclaimable).toList());
 		List<Offer> onDemand = offers.stream()
 			.filter((offer) -> !offer.reclaimable())
 			.sorted(Comparator.comparingDouble(Offer::unitPrice))
@@ -62,10 +62,10 @@
 	}
 
 	/**
-	 * Returns what is left after the loss of the largest zone.
+	 * Returns the remaining capacity after the loss of the largest zone.
 	 * @param counts the number of VMs of each kind
-	 * @param offers the offers, which tell the capacity of a kind
-	 * @return the capacity left
+	 * @param offers the offers, which define the capacity of each kind
+	 * @return the remaining capacity
 	 */
 	public static double surviving(Map<VmKind, Integer> counts, Collection<Offer> offers) {
 		Map<ZoneName, Double> reclaimable = new HashMap<>();
@@ -80,14 +80,15 @@
 		return total - reclaimable.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
 	}
 
-	// Every level where there are few. Where there are many, a coarse pass and then all
-	// levels beside its best: what survives never falls with the level, so the highest
-	// one, which is always tried, meets the target if any does.
+	// Tries all levels if there are few. Otherwise a coarse pass is followed by all
+	// levels adjacent to its best: the surviving capacity never decreases with the
+	// level, so the highest one, which is always tried, meets the target if any
+	// does.
 	private static CapacityPlan bestLevel(double target, List<Offer> zones, List<Offer> onDemand,
 			Map<VmKind, Integer> limits) {
 		double step = zones.stream().mapToDouble(Offer::capacity).min().orElseThrow();
 		int last = (int) Math.ceil(target / step) + 1;
-		int stride = Math.ceilDiv(last, MOST_LEVELS);
+		int stride = Math.ceilDiv(last, MAXIMUM_COARSE_LEVELS);
 		int bestLevel = last;
 		CapacityPlan best = fill(target, zones, last * step, onDemand, limits);
 		for (int level = stride; level < last; level += stride) {
@@ -104,7 +105,7 @@
 		return best;
 	}
 
-	private static List<Offer> bestByZone(List<Offer> offers) {
+	private static List<Offer> cheapestByZone(List<Offer> offers) {
 		Map<ZoneName, Offer> best = new HashMap<>();
 		for (Offer offer : offers) {
 			best.merge(offer.zone(), offer,
@@ -136,8 +137,8 @@
 		return new CapacityPlan(counts, surviving(counts, used), price);
 	}
 
-	private static void add(Map<VmKind, Integer> counts, Offer offer, int wanted, Map<VmKind, Integer> limits) {
-		int count = Math.min(wanted, limits.getOrDefault(offer.kind(), Integer.MAX_VALUE));
+	private static void add(Map<VmKind, Integer> counts, Offer offer, int required, Map<VmKind, Integer> limits) {
+		int count = Math.min(required, limits.getOrDefault(offer.kind(), Integer.MAX_VALUE));
 		if (count > 0) {
 			Invariant.check(!counts.containsKey(offer.kind()), "%s is offered twice", offer.kind());
 			counts.put(offer.kind(), count);
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/ClientToken.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/ClientToken.java
@@ -5,8 +5,7 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * The identity of one purchase: the cloud gives the same VM for the same token, however
- * often it is asked.
+ * The idempotency token of a start: the cloud returns the same VM for the same token.
  *
  * @param value the token's text, never blank
  */
@@ -25,9 +24,9 @@
 	}
 
 	/**
-	 * Returns the token of a planner's purchase.
-	 * @param dataCenter the data center it plans for
-	 * @param fence its fencing number, which no other planner ever has
+	 * Returns the token of a start by a planner.
+	 * @param dataCenter the data center for which it plans
+	 * @param fence its fencing number, which is unique to it
 	 * @param sequence a number that this planner uses once under the fencing number
 	 * @return the token
 	 */
@@ -36,10 +35,10 @@
 	}
 
 	/**
-	 * Returns whether this is a token of a data center: the prefix of {@code a} also
-	 * begins the tokens of {@code a-b}, whose VMs are none of its business.
+	 * Returns whether this is a token of a data center. The prefix alone is not
+	 * sufficient, since the tokens of {@code a-b} begin with the prefix of {@code a}.
 	 * @param dataCenter the data center
-	 * @return whether the VM was bought for it
+	 * @return whether the VM was started for the data center
 	 */
 	public boolean isOf(DataCenterName dataCenter) {
 		String prefix = prefix(dataCenter);
@@ -47,9 +46,9 @@
 	}
 
 	/**
-	 * Returns what all tokens of a data center begin with.
+	 * Returns the common prefix of all tokens of a data center.
 	 * @param dataCenter the data center
-	 * @return the prefix to list by
+	 * @return the prefix, by which VMs are listed
 	 */
 	public static String prefix(DataCenterName dataCenter) {
 		return dataCenter + "-";
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/CloudVm.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/CloudVm.java
@@ -3,12 +3,12 @@
 import org.banyancove.core.VmId;
 
 /**
- * A VM as the cloud lists it.
+ * A VM as listed by the cloud.
  *
  * @param id the VM
- * @param token the client token under which it was bought
- * @param kind what it is
- * @param leaving whether it was taken back or given back
+ * @param token the client token with which it was started
+ * @param kind its kind
+ * @param leaving whether it is being reclaimed or stopped
  */
 public record CloudVm(VmId id, ClientToken token, VmKind kind, boolean leaving) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/EngineState.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/EngineState.java
@@ -3,11 +3,11 @@
 import java.util.Set;
 
 /**
- * What an engine should hold, or holds: orders name this whole, not a change to it, so
- * that repeating one does no harm.
+ * The desired or actual state of an engine. Orders contain the complete state rather than
+ * a change, which makes them idempotent.
  *
- * @param models the models and versions loaded
- * @param adapters the adapters loaded
+ * @param models the loaded models with their versions
+ * @param adapters the loaded adapters
  * @param role the engine's role
  */
 public record EngineState(Set<String> models, Set<String> adapters, String role) {
@@ -21,16 +21,16 @@
 	}
 
 	/**
-	 * Returns the weight loads that an engine needs to get from another state to this.
-	 * @param from the engine's state
-	 * @return the number of models and adapters it does not hold yet
+	 * Returns the number of weight loads that an engine needs to reach this state.
+	 * @param from the engine's current state
+	 * @return the number of models and adapters that it has not loaded
 	 */
 	public int loadsFrom(EngineState from) {
-		return missing(this.models, from.models) + missing(this.adapters, from.adapters);
+		return countMissing(this.models, from.models) + countMissing(this.adapters, from.adapters);
 	}
 
-	private static int missing(Set<String> wanted, Set<String> held) {
-		return (int) wanted.stream().filter((name) -> !held.contains(name)).count();
+	private static int countMissing(Set<String> required, Set<String> loaded) {
+		return (int) required.stream().filter((name) -> !loaded.contains(name)).count();
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/Lease.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/Lease.java
@@ -6,21 +6,21 @@
 import org.banyancove.core.Incarnation;
 
 /**
- * A standing lease.
+ * A lease on a data center.
  *
  * @param holder the process that may plan
- * @param fence the fencing number: the offset of the record that won the lease
- * @param renewedAt the log's time of the newest record that keeps the lease
- * @param duration how long it lasts from then
+ * @param fence the fencing number: the offset of the record that acquired the lease
+ * @param renewedAt the log's time of the latest record that acquired or renewed the lease
+ * @param duration the duration from that time
  */
 public record Lease(Incarnation holder, long fence, Instant renewedAt, Duration duration) {
 
 	/**
-	 * Returns whether the lease ended without a renewal.
+	 * Returns whether the lease has expired.
 	 * @param logTime the log's time
-	 * @return whether another process can win it
+	 * @return whether another process can acquire it
 	 */
-	public boolean lapsed(Instant logTime) {
+	public boolean isExpired(Instant logTime) {
 		return !logTime.isBefore(this.renewedAt.plus(this.duration));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseElection.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseElection.java
@@ -15,18 +15,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Gets and keeps one process's lease on its data center.
+ * Acquires and renews one process's lease on its data center.
  * <p>
- * The local clock decides only when to append, and when to stop acting early. A holder
- * that is paused and wakes up may still act for a moment under an old fencing number:
- * endpoints that check refuse it, and for the others all orders name the wanted state and
- * are checked by reading back. Used by one thread.
+ * The local clock determines only when to append, and when to stop acting early. A holder
+ * that resumes after a pause may still act briefly under an old fencing number: endpoints
+ * that check fencing numbers refuse it, and for the others all orders contain the
+ * complete desired state and are verified by reading it back. Used by one thread.
  */
-public final class LeaseKeeper {
+public final class LeaseElection {
 
 	private static final int RENEWALS_PER_LEASE = 3;
 
-	private static final int REMEMBERED_RECORDS = 16;
+	private static final int MAXIMUM_PENDING_RECORDS = 16;
 
 	private final Incarnation self;
 
@@ -44,26 +44,26 @@
 
 	private Instant appendNotBefore = Instant.MIN;
 
-	private Instant lastHeard;
+	private Instant lastChangeAt;
 
-	private final Map<RecordId, Instant> sent = new LinkedHashMap<>();
+	private final Map<RecordId, Instant> sendTimes = new LinkedHashMap<>();
 
-	private long nextRecord;
+	private long nextRecordNumber;
 
-	private Instant heldSince = Instant.MIN;
+	private Instant leaseRenewedAt = Instant.MIN;
 
 	private boolean resigned;
 
 	/**
-	 * Creates the keeper.
+	 * Creates the election.
 	 * @param self this process
 	 * @param dataCenter the data center to plan for
-	 * @param clock the clock for when to append
-	 * @param random the source of jitter
-	 * @param duration how long a lease lasts without a renewal
-	 * @param append appends a record to the stream of leases, without repeating it
+	 * @param clock the clock that determines when to append
+	 * @param random the random generator for jitter
+	 * @param duration the duration of a lease without a renewal
+	 * @param append appends a record to the stream of leases, without retries
 	 */
-	public LeaseKeeper(Incarnation self, DataCenterName dataCenter, InstantSource clock, RandomGenerator random,
+	public LeaseElection(Incarnation self, DataCenterName dataCenter, InstantSource clock, RandomGenerator random,
 			Duration duration, Consumer<LeaseRecord> append) {
 		this.self = self;
 		this.dataCenter = dataCenter;
@@ -71,33 +71,34 @@
 		this.random = random;
 		this.duration = duration;
 		this.append = append;
-		this.lastHeard = clock.instant();
+		this.lastChangeAt = clock.instant();
 	}
 
 	/**
-	 * Takes a record that was read from the stream.
+	 * Applies a record that was read from the stream.
 	 * @param offset the record's offset
 	 * @param record the record
 	 * @param appendedAt the log's time of the append
 	 */
-	public void recordRead(long offset, LeaseRecord record, Instant appendedAt) {
+	public void applyRecord(long offset, LeaseRecord record, Instant appendedAt) {
 		Lease before = lease();
 		this.table.apply(offset, record, appendedAt);
 		Lease after = lease();
 		if (after == null) {
-			this.lastHeard = Instant.MIN;
+			this.lastChangeAt = Instant.MIN;
 		}
 		else if (!after.equals(before)) {
-			this.lastHeard = this.clock.instant();
+			this.lastChangeAt = this.clock.instant();
 		}
-		Instant sentAt = this.sent.remove(record.id());
+		Instant sentAt = this.sendTimes.remove(record.id());
 		if (sentAt != null && after != null && after.holder().equals(this.self)) {
-			this.heldSince = sentAt;
+			this.leaseRenewedAt = sentAt;
 		}
 	}
 
 	/**
-	 * Appends what is due: a renewal, or a try for a lease that nobody renews.
+	 * Appends a renewal if it is due, or an acquisition if the lease is not being
+	 * renewed.
 	 */
 	public void tick() {
 		Instant now = this.clock.instant();
@@ -106,51 +107,51 @@
 		}
 		Lease lease = lease();
 		if (lease != null && lease.holder().equals(this.self)) {
-			send(new LeaseRecord.Renewed(newRecord(), this.dataCenter, this.self, lease.fence(), this.duration), now);
+			send(new LeaseRecord.Renewed(newRecordId(), this.dataCenter, this.self, lease.fence(), this.duration), now);
 		}
-		else if (lease == null || !now.isBefore(this.lastHeard.plus(this.duration))) {
-			send(new LeaseRecord.Acquired(newRecord(), this.dataCenter, this.self, this.duration), now);
+		else if (lease == null || !now.isBefore(this.lastChangeAt.plus(this.duration))) {
+			send(new LeaseRecord.Acquired(newRecordId(), this.dataCenter, this.self, this.duration), now);
 		}
 	}
 
 	/**
-	 * Returns the fencing number to act under.
+	 * Returns the fencing number under which this process acts.
 	 * @return the fencing number, or empty if this process must not act: it does not hold
 	 * the lease, or could not renew it in time
 	 */
 	public OptionalLong fence() {
 		Lease lease = lease();
 		if (this.resigned || lease == null || !lease.holder().equals(this.self)
-				|| !this.clock.instant().isBefore(this.heldSince.plus(this.duration))) {
+				|| !this.clock.instant().isBefore(this.leaseRenewedAt.plus(this.duration))) {
 			return OptionalLong.empty();
 		}
 		return OptionalLong.of(lease.fence());
 	}
 
 	/**
-	 * Gives the lease up and never asks for it again: on a stop.
+	 * Resigns the lease and never acquires it again, on shutdown.
 	 */
 	public void resign() {
 		Lease lease = lease();
 		this.resigned = true;
 		if (lease != null && lease.holder().equals(this.self)) {
-			this.append.accept(new LeaseRecord.Resigned(newRecord(), this.dataCenter, this.self, lease.fence()));
+			this.append.accept(new LeaseRecord.Resigned(newRecordId(), this.dataCenter, this.self, lease.fence()));
 		}
 	}
 
 	private void send(LeaseRecord record, Instant now) {
-		Duration pace = this.duration.dividedBy(RENEWALS_PER_LEASE);
-		this.sent.put(record.id(), now);
-		if (this.sent.size() > REMEMBERED_RECORDS) {
-			this.sent.remove(this.sent.keySet().iterator().next());
+		Duration renewalInterval = this.duration.dividedBy(RENEWALS_PER_LEASE);
+		this.sendTimes.put(record.id(), now);
+		if (this.sendTimes.size() > MAXIMUM_PENDING_RECORDS) {
+			this.sendTimes.remove(this.sendTimes.keySet().iterator().next());
 		}
-		this.appendNotBefore = now.plus(pace.dividedBy(2))
-			.plusNanos((long) (pace.toNanos() * 0.5 * this.random.nextDouble()));
+		this.appendNotBefore = now.plus(renewalInterval.dividedBy(2))
+			.plusNanos((long) (renewalInterval.toNanos() * 0.5 * this.random.nextDouble()));
 		this.append.accept(record);
 	}
 
-	private RecordId newRecord() {
-		return RecordId.of(this.self, this.nextRecord++);
+	private RecordId newRecordId() {
+		return RecordId.of(this.self, this.nextRecordNumber++);
 	}
 
 	private @Nullable Lease lease() {
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseRecord.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseRecord.java
@@ -16,19 +16,19 @@
 	String STREAM_NAME = "leases";
 
 	/**
-	 * The longest that a lease may last without a renewal: whoever reads this much of the
-	 * stream's end has read a record of every lease that stands.
+	 * The maximum duration of a lease without a renewal: a reader of the records of this
+	 * duration at the end of the stream has read a record of every current lease.
 	 */
 	Duration LONGEST = Duration.ofMinutes(10);
 
 	/**
-	 * Returns the identifier by which the author finds the record again.
+	 * Returns the identifier by which the author recognizes the record.
 	 * @return the identifier
 	 */
 	RecordId id();
 
 	/**
-	 * Returns the data center that the lease is for.
+	 * Returns the data center of the lease.
 	 * @return the data center
 	 */
 	DataCenterName dataCenter();
@@ -40,12 +40,13 @@
 	Incarnation author();
 
 	/**
-	 * A process wants the lease; its offset becomes the fencing number if it wins.
+	 * A process requests the lease; the record's offset becomes the fencing number if the
+	 * process wins it.
 	 *
 	 * @param id the record's identifier
 	 * @param dataCenter the data center
-	 * @param author the process that wants the lease
-	 * @param duration how long the lease lasts without a renewal, by the log's times
+	 * @param author the process that requests the lease
+	 * @param duration the duration of the lease without a renewal, by the log's times
 	 */
 	record Acquired(RecordId id, DataCenterName dataCenter, Incarnation author,
 			Duration duration) implements LeaseRecord {
@@ -62,13 +63,13 @@
 	}
 
 	/**
-	 * The holder goes on.
+	 * The holder renews the lease.
 	 *
 	 * @param id the record's identifier
 	 * @param dataCenter the data center
 	 * @param author the holder
 	 * @param fence the lease's fencing number
-	 * @param duration how long the lease lasts without another renewal
+	 * @param duration the duration of the lease without another renewal
 	 */
 	record Renewed(RecordId id, DataCenterName dataCenter, Incarnation author, long fence,
 			Duration duration) implements LeaseRecord {
@@ -88,7 +89,8 @@
 	}
 
 	/**
-	 * The holder gives the lease up, so that another need not wait.
+	 * The holder resigns the lease, so that another process need not wait until it
+	 * expires.
 	 *
 	 * @param id the record's identifier
 	 * @param dataCenter the data center
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseTable.java
@@ -9,12 +9,12 @@
 import org.banyancove.core.Invariant;
 
 /**
- * The fold of the stream of leases: who plans for which data center.
+ * The current leases, computed from the records of the stream of leases.
  * <p>
- * Only record times and offsets decide. A renewal with a higher fencing number than the
- * standing lease's replaces it: a reader that starts after retention trimmed the winning
- * record learns the lease from its next renewal, and readers that once disagreed agree
- * again. Used by one thread.
+ * Only record times and offsets are decisive. A renewal with a higher fencing number than
+ * the current lease's replaces the lease: a reader that starts after retention removed
+ * the acquiring record finds the lease in its next renewal, and readers that disagreed
+ * converge. Used by one thread.
  */
 public final class LeaseTable {
 
@@ -23,7 +23,7 @@
 	private final Map<DataCenterName, Long> highestFences = new HashMap<>();
 
 	/**
-	 * Folds one record.
+	 * Applies a record.
 	 * @param offset the record's offset
 	 * @param record the record
 	 * @param appendedAt the log's time of the append
@@ -37,41 +37,41 @@
 	}
 
 	/**
-	 * Returns the lease on a data center, lapsed or not.
+	 * Returns the lease on a data center, expired or not.
 	 * @param dataCenter the data center
-	 * @return the lease, or empty if none is known
+	 * @return the lease, or empty if there is none
 	 */
 	public Optional<Lease> find(DataCenterName dataCenter) {
 		return Optional.ofNullable(this.leases.get(dataCenter));
 	}
 
 	private void acquire(long offset, LeaseRecord.Acquired record, Instant appendedAt) {
-		Lease standing = this.leases.get(record.dataCenter());
-		if (standing == null || standing.lapsed(appendedAt)) {
+		Lease current = this.leases.get(record.dataCenter());
+		if (current == null || current.isExpired(appendedAt)) {
 			put(record.dataCenter(), new Lease(record.author(), offset, appendedAt, record.duration()));
 		}
 	}
 
 	private void renew(LeaseRecord.Renewed record, Instant appendedAt) {
-		Lease standing = this.leases.get(record.dataCenter());
+		Lease current = this.leases.get(record.dataCenter());
 		long highest = this.highestFences.getOrDefault(record.dataCenter(), -1L);
-		boolean own = standing != null && standing.fence() == record.fence()
-				&& standing.holder().equals(record.author());
-		if (own || record.fence() > highest) {
+		boolean renewsCurrent = current != null && current.fence() == record.fence()
+				&& current.holder().equals(record.author());
+		if (renewsCurrent || record.fence() > highest) {
 			put(record.dataCenter(), new Lease(record.author(), record.fence(), appendedAt, record.duration()));
 		}
 	}
 
 	private void resign(LeaseRecord.Resigned record) {
-		Lease standing = this.leases.get(record.dataCenter());
-		if (standing != null && standing.fence() == record.fence() && standing.holder().equals(record.author())) {
+		Lease current = this.leases.get(record.dataCenter());
+		if (current != null && current.fence() == record.fence() && current.holder().equals(record.author())) {
 			this.leases.remove(record.dataCenter());
 		}
 	}
 
 	private void put(DataCenterName dataCenter, Lease lease) {
 		long highest = this.highestFences.getOrDefault(dataCenter, -1L);
-		Invariant.check(lease.fence() >= highest, "the fence of %s fell from %s to %s", dataCenter, highest,
+		Invariant.check(lease.fence() >= highest, "fencing number of %s decreased from %s to %s", dataCenter, highest,
 				lease.fence());
 		this.highestFences.put(dataCenter, lease.fence());
 		this.leases.put(dataCenter, lease);
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/LoadRateLimiter.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/LoadRateLimiter.java
@@ -4,10 +4,10 @@
 import java.time.Instant;
 
 /**
- * How many weight loads may begin: the weight store's rate, and its own word when it
- * refuses. Used by one thread.
+ * A token bucket that limits weight loads to the weight store's rate, and pauses them
+ * when the store refuses a load. Used by one thread.
  */
-final class LoadRate {
+final class LoadRateLimiter {
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -15,32 +15,32 @@
 
 	private final double burst;
 
-	private double allowance;
+	private double availableLoads;
 
-	private Instant allowanceAt;
+	private Instant refilledAt;
 
 	private Instant pausedUntil = Instant.MIN;
 
-	LoadRate(double loadsPerSecond, double burst, Instant now) {
+	LoadRateLimiter(double loadsPerSecond, double burst, Instant now) {
 		this.loadsPerSecond = loadsPerSecond;
 		this.burst = burst;
-		this.allowanceAt = now;
+		this.refilledAt = now;
 	}
 
-	// An order may need more loads than the burst: it then goes once the allowance is
-	// full, and leaves it in debt, so that the rate holds in the mean.
-	boolean take(int loads, Instant now) {
-		double seconds = Duration.between(this.allowanceAt, now).toNanos() / NANOS_PER_SECOND;
-		this.allowance = Math.min(this.burst, this.allowance + seconds * this.loadsPerSecond);
-		this.allowanceAt = now;
-		if (now.isBefore(this.pausedUntil) || this.allowance < Math.min(loads, this.burst)) {
+	// An order may need more loads than the burst. It is then sent when the bucket is
+	// full and leaves a negative balance, so that the average rate is kept.
+	boolean tryAcquire(int loads, Instant now) {
+		double seconds = Duration.between(this.refilledAt, now).toNanos() / NANOS_PER_SECOND;
+		this.availableLoads = Math.min(this.burst, this.availableLoads + seconds * this.loadsPerSecond);
+		this.refilledAt = now;
+		if (now.isBefore(this.pausedUntil) || this.availableLoads < Math.min(loads, this.burst)) {
 			return false;
 		}
-		this.allowance -= loads;
+		this.availableLoads -= loads;
 		return true;
 	}
 
-	void refused(Instant now, Duration retryAfter) {
+	void pause(Instant now, Duration retryAfter) {
 		this.pausedUntil = now.plus(retryAfter);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/Offer.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/Offer.java
@@ -4,20 +4,20 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * A kind of VM that the cloud sells.
+ * A kind of VM offered by the cloud.
  *
  * @param zone the zone
  * @param machineClass the machine class
- * @param reclaimable whether the platform may take the VM back on short notice
- * @param pricePerHour the price of an hour, above 0
- * @param capacity what one VM carries, in the unit of the target, above 0
+ * @param reclaimable whether the platform may reclaim the VM on short notice
+ * @param pricePerHour the price per hour, above 0
+ * @param capacity the capacity of one VM, in the unit of the target, above 0
  */
 public record Offer(ZoneName zone, MachineClass machineClass, boolean reclaimable, double pricePerHour,
 		double capacity) {
 
 	/**
 	 * Creates the offer.
-	 * @throws IllegalArgumentException if price or capacity are not positive
+	 * @throws IllegalArgumentException if the price or the capacity is not positive
 	 */
 	public Offer {
 		if (!(pricePerHour > 0) || !(capacity > 0)) {
@@ -27,15 +27,15 @@
 	}
 
 	/**
-	 * Returns the price of one unit of capacity.
-	 * @return the price of an hour
+	 * Returns the price per hour of one unit of capacity.
+	 * @return the price
 	 */
 	public double unitPrice() {
 		return this.pricePerHour / this.capacity;
 	}
 
 	/**
-	 * Returns the kind, which outlives a change of the price.
+	 * Returns the kind, which does not depend on the price.
 	 * @return the kind
 	 */
 	public VmKind kind() {
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/OrderResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/OrderResult.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What became of an order, or of reading an engine's state back.
+ * The result of an order or of reading an engine's state back.
  */
 public sealed interface OrderResult {
 
 	/**
-	 * The engine told its state.
+	 * The engine's state was read.
 	 *
 	 * @param state the state
 	 */
@@ -17,25 +17,25 @@
 	}
 
 	/**
-	 * The engine refused the order for its old fencing number: another planner holds the
-	 * lease.
+	 * The engine refused the order because of its old fencing number: another planner
+	 * holds the lease.
 	 */
 	record Fenced() implements OrderResult {
 
 	}
 
 	/**
-	 * The weight store is over its rate.
+	 * The rate of the weight store is exceeded.
 	 *
-	 * @param retryAfter when to come back
+	 * @param retryAfter the delay before a retry
 	 */
 	record StoreBusy(Duration retryAfter) implements OrderResult {
 
 	}
 
 	/**
-	 * The order may have been taken. An engine that acknowledges an order is also this:
-	 * only reading back counts.
+	 * The order may have been applied. Also the result of an acknowledged order, since
+	 * only the state read back is decisive.
 	 */
 	record Unanswered() implements OrderResult {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/OrderTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/OrderTable.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The engines of the data center: what each was last read to hold, and what is on its
- * way. Used by one thread.
+ * The engines of the data center with the state last read back from each and their next
+ * command. Used by one thread.
  */
 final class OrderTable {
 
@@ -28,7 +28,7 @@
 		vms.forEach((vm) -> this.engines.computeIfAbsent(vm, (_) -> new Engine()));
 	}
 
-	void readBack(VmId vm, EngineState state) {
+	void updateState(VmId vm, EngineState state) {
 		Engine engine = this.engines.get(vm);
 		if (engine != null) {
 			engine.state = state;
@@ -39,26 +39,26 @@
 		this.engines.clear();
 	}
 
-	int matching(EngineState wanted) {
-		return (int) this.engines.values().stream().filter((engine) -> wanted.equals(engine.state)).count();
+	int countMatching(EngineState desiredState) {
+		return (int) this.engines.values().stream().filter((engine) -> desiredState.equals(engine.state)).count();
 	}
 
-	// Reads each engine's state back, also one that was right: an order of a planner that
-	// was paused may have changed it since. An order follows only what was read.
-	void tick(Instant now, long fence, EngineState wanted, LoadRate rate, PlannerPort port) {
+	// Reads each engine's state back, also one that matched: an order of a planner that
+	// was paused may have changed it since. An order is sent only after a read.
+	void tick(Instant now, long fence, EngineState desiredState, LoadRateLimiter limiter, PlannerPort port) {
 		this.engines.forEach((vm, engine) -> {
 			if (now.isBefore(engine.notBefore)) {
 				return;
 			}
 			engine.notBefore = now.plus(this.interval);
 			EngineState state = engine.state;
-			if (state != null && !state.equals(wanted)) {
-				if (!rate.take(wanted.loadsFrom(state), now)) {
+			if (state != null && !state.equals(desiredState)) {
+				if (!limiter.tryAcquire(desiredState.loadsFrom(state), now)) {
 					engine.notBefore = now;
 					return;
 				}
 				engine.state = null;
-				port.order(vm, fence, wanted);
+				port.order(vm, fence, desiredState);
 			}
 			else {
 				port.readBack(vm);
@@ -66,7 +66,7 @@
 		});
 	}
 
-	/** An engine as the planner knows it. */
+	/** An engine with the state last read back. */
 	private static final class Engine {
 
 		private @Nullable EngineState state;
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSettings.java
@@ -5,15 +5,15 @@
 /**
  * Settings of a {@link PlannerSystem}.
  *
- * @param lease how long a lease lasts without a renewal
- * @param listInterval how often the cloud's VMs are listed
- * @param callTimeout how long a call to the cloud or an engine may take
- * @param orderInterval how often an engine's state is read back, and an order repeated
- * that it does not show
- * @param refusedStart the mean wait after a first refused start
- * @param startsInFlight the starts that may be unanswered at once
+ * @param lease the duration of a lease without a renewal
+ * @param listInterval the interval at which the cloud's VMs are listed
+ * @param callTimeout the timeout of a call to the cloud or an engine
+ * @param orderInterval the interval at which an engine's state is read back, and an order
+ * retried that was not applied
+ * @param refusedStart the mean delay after a first refused start
+ * @param startsInFlight the maximum number of unanswered starts
  * @param loadsPerSecond the weight store's rate for this data center
- * @param loadBurst the loads that may begin at once
+ * @param loadBurst the maximum number of weight loads that may begin at once
  */
 public record PlannerSettings(Duration lease, Duration listInterval, Duration callTimeout, Duration orderInterval,
 		Duration refusedStart, int startsInFlight, double loadsPerSecond, int loadBurst) {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Returns the settings where an operator gives none.
+	 * Returns the settings that apply unless configured otherwise.
 	 * @return the default settings
 	 */
 	public static PlannerSettings defaults() {
@@ -45,8 +45,8 @@
 				Duration.ofSeconds(5), Duration.ofSeconds(5), 16, 1, 4);
 	}
 
-	private static void check(boolean holds, String name, Object value) {
-		if (!holds) {
+	private static void check(boolean valid, String name, Object value) {
+		if (!valid) {
 			throw new IllegalArgumentException(name + " must be positive: " + value);
 		}
 	}
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSystem.java
@@ -21,12 +21,12 @@
 import org.banyancove.core.VmId;
 
 /**
- * Plans for one data center while it holds the lease: buys and gives back VMs and orders
- * engines to what they should hold.
+ * Reconciles the capacity and the engines of one data center while it holds the lease:
+ * starts and stops VMs and orders engines to their desired state.
  * <p>
- * Everything is level-triggered: each tick compares what is wanted with what was last
- * listed or read back, so that a lost answer, a dead planner or a paused former holder
- * leaves nothing that the next round does not mend. Used by one thread.
+ * Reconciliation is level-triggered: each tick compares the desired state with the state
+ * last listed or read back, so that the next round corrects the effects of a lost answer,
+ * a failed planner or a paused former holder. Used by one thread.
  */
 public final class PlannerSystem {
 
@@ -38,17 +38,17 @@
 
 	private final PlannerPort port;
 
-	private final LeaseKeeper keeper;
+	private final LeaseElection election;
 
 	private final StartBackoff backoff;
 
-	private final LoadRate loads;
+	private final LoadRateLimiter loadLimiter;
 
 	private final OrderTable orders;
 
-	private final Map<ClientToken, Purchase> purchases = new LinkedHashMap<>();
+	private final Map<ClientToken, PendingStart> pendingStarts = new LinkedHashMap<>();
 
-	private final Map<VmId, Instant> givenBack = new HashMap<>();
+	private final Map<VmId, Instant> stopRequests = new HashMap<>();
 
 	private List<CloudVm> vms = List.of();
 
@@ -56,7 +56,7 @@
 
 	private double target;
 
-	private EngineState wanted = new EngineState(Set.of(), Set.of(), "");
+	private EngineState desiredState = new EngineState(Set.of(), Set.of(), "");
 
 	private long fence = -1;
 
@@ -66,20 +66,20 @@
 
 	private long nextRequest;
 
-	private long oldestRequest;
+	private long minimumRequest;
 
 	private Instant listNotBefore = Instant.MIN;
 
-	private long nextPurchase;
+	private long nextSequence;
 
 	/**
 	 * Creates the system.
 	 * @param self this process
 	 * @param dataCenter the data center to plan for
 	 * @param clock the clock
-	 * @param random the source of jitter
+	 * @param random the random generator for jitter
 	 * @param settings the settings
-	 * @param port takes the commands
+	 * @param port executes the commands
 	 */
 	public PlannerSystem(Incarnation self, DataCenterName dataCenter, InstantSource clock, RandomGenerator random,
 			PlannerSettings settings, PlannerPort port) {
@@ -87,25 +87,25 @@
 		this.clock = clock;
 		this.settings = settings;
 		this.port = port;
-		this.keeper = new LeaseKeeper(self, dataCenter, clock, random, settings.lease(), port::append);
+		this.election = new LeaseElection(self, dataCenter, clock, random, settings.lease(), port::append);
 		this.backoff = new StartBackoff(settings.refusedStart(), random);
-		this.loads = new LoadRate(settings.loadsPerSecond(), settings.loadBurst(), clock.instant());
+		this.loadLimiter = new LoadRateLimiter(settings.loadsPerSecond(), settings.loadBurst(), clock.instant());
 		this.orders = new OrderTable(settings.orderInterval());
 	}
 
 	/**
-	 * Takes what is wanted.
-	 * @param target the capacity to have after the loss of the largest zone
-	 * @param wanted what each engine should hold
+	 * Sets the desired state.
+	 * @param target the capacity required after the loss of the largest zone
+	 * @param desiredState the desired state of each engine
 	 */
-	public void want(double target, EngineState wanted) {
+	public void want(double target, EngineState desiredState) {
 		this.target = target;
-		this.wanted = wanted;
+		this.desiredState = desiredState;
 		this.planDue = true;
 	}
 
 	/**
-	 * Takes what the cloud sells.
+	 * Sets the cloud's offers.
 	 * @param offers the offers
 	 */
 	public void offered(Collection<Offer> offers) {
@@ -114,139 +114,142 @@
 	}
 
 	/**
-	 * Takes a record that was read from the stream of leases.
+	 * Applies a record that was read from the stream of leases.
 	 * @param offset the record's offset
 	 * @param record the record
 	 * @param appendedAt the log's time of the append
 	 */
 	public void leaseRead(long offset, LeaseRecord record, Instant appendedAt) {
-		this.keeper.recordRead(offset, record, appendedAt);
+		this.election.applyRecord(offset, record, appendedAt);
 	}
 
 	/**
-	 * Takes the answer to {@link PlannerPort#list}. An answer that comes after a later
-	 * one, or was asked for under an earlier lease, is passed over.
+	 * Applies the answer to {@link PlannerPort#list}. An answer that arrives after the
+	 * answer to a later request, or that was requested under an earlier lease, is
+	 * ignored.
 	 * @param request the request's number
-	 * @param found all VMs whose tokens begin as the data center's do
+	 * @param found all VMs whose tokens have the data center's prefix
 	 */
 	public void listed(long request, List<CloudVm> found) {
-		if (request < this.oldestRequest) {
+		if (request < this.minimumRequest) {
 			return;
 		}
-		this.oldestRequest = request + 1;
+		this.minimumRequest = request + 1;
 		this.vms = found.stream().filter((vm) -> vm.token().isOf(this.dataCenter)).toList();
 		this.listed = true;
 		this.planDue = true;
-		this.vms.forEach((vm) -> this.purchases.remove(vm.token()));
-		this.purchases.values().removeIf((purchase) -> purchase.bought && purchase.boughtBefore <= request);
+		this.vms.forEach((vm) -> this.pendingStarts.remove(vm.token()));
+		this.pendingStarts.values()
+			.removeIf((pendingStart) -> pendingStart.started && pendingStart.startedBefore <= request);
 		Set<VmId> live = live().stream().map(CloudVm::id).collect(Collectors.toCollection(LinkedHashSet::new));
 		this.orders.retain(live);
-		this.givenBack.keySet().retainAll(live);
+		this.stopRequests.keySet().retainAll(live);
 	}
 
 	/**
-	 * Takes the answer to a start.
-	 * @param token the purchase
-	 * @param result what became of it
+	 * Applies the answer to a start.
+	 * @param token the client token of the start
+	 * @param result the result
 	 */
 	public void startAnswered(ClientToken token, StartResult result) {
-		Purchase purchase = this.purchases.get(token);
-		if (purchase == null) {
+		PendingStart pendingStart = this.pendingStarts.get(token);
+		if (pendingStart == null) {
 			return;
 		}
 		Instant now = this.clock.instant();
 		switch (result) {
 			case StartResult.Started _ -> {
-				purchase.bought = true;
-				purchase.boughtBefore = this.nextRequest;
-				this.backoff.started(purchase.kind);
+				pendingStart.started = true;
+				pendingStart.startedBefore = this.nextRequest;
+				this.backoff.recordSuccess(pendingStart.kind);
 			}
 			case StartResult.Refused refused -> {
-				this.backoff.refused(purchase.kind, now, refused.retryAfter());
-				this.purchases.remove(token);
+				this.backoff.recordRefusal(pendingStart.kind, now, refused.retryAfter());
+				this.pendingStarts.remove(token);
 				this.planDue = true;
 			}
-			case StartResult.Unanswered _ -> purchase.retryAt = now.plus(this.settings.callTimeout());
+			case StartResult.Unanswered _ -> pendingStart.retryAt = now.plus(this.settings.callTimeout());
 		}
 	}
 
 	/**
-	 * Takes what became of an order, or what was read back.
+	 * Applies the result of an order or of reading an engine's state back.
 	 * @param vm the engine's VM
 	 * @param result the result
 	 */
 	public void orderAnswered(VmId vm, OrderResult result) {
 		switch (result) {
-			case OrderResult.ReadBack readBack -> this.orders.readBack(vm, readBack.state());
-			case OrderResult.StoreBusy busy -> this.loads.refused(this.clock.instant(), busy.retryAfter());
+			case OrderResult.ReadBack readBack -> this.orders.updateState(vm, readBack.state());
+			case OrderResult.StoreBusy busy -> this.loadLimiter.pause(this.clock.instant(), busy.retryAfter());
 			case OrderResult.Fenced _, OrderResult.Unanswered _ -> {
 			}
 		}
 	}
 
 	/**
-	 * Does what is due.
+	 * Renews the lease and sends the commands that are due.
 	 */
 	public void tick() {
-		this.keeper.tick();
-		OptionalLong held = this.keeper.fence();
-		if (held.isEmpty()) {
+		this.election.tick();
+		OptionalLong currentFence = this.election.fence();
+		if (currentFence.isEmpty()) {
 			return;
 		}
-		if (held.getAsLong() != this.fence) {
-			begin(held.getAsLong());
+		if (currentFence.getAsLong() != this.fence) {
+			startTerm(currentFence.getAsLong());
 		}
 		Instant now = this.clock.instant();
-		list(now);
+		requestList(now);
 		if (!this.listed) {
 			return;
 		}
-		repeatUnanswered(now);
+		retryUnanswered(now);
 		if (this.planDue) {
 			this.planDue = false;
 			Map<VmKind, Integer> planned = plan().counts();
-			buy(planned, now);
-			giveBack(planned, now);
+			startMissing(planned, now);
+			stopExcess(planned, now);
 		}
-		this.orders.tick(now, this.fence, this.wanted, this.loads, this.port);
+		this.orders.tick(now, this.fence, this.desiredState, this.loadLimiter, this.port);
 	}
 
 	/**
-	 * Gives the lease up: on a stop.
+	 * Resigns the lease, on shutdown.
 	 */
 	public void resign() {
-		this.keeper.resign();
+		this.election.resign();
 	}
 
 	/**
-	 * Returns the fencing number that the system acts under.
+	 * Returns the fencing number under which the system acts.
 	 * @return the fencing number, empty while it must not act
 	 */
 	public OptionalLong fence() {
-		return this.keeper.fence();
+		return this.election.fence();
 	}
 
 	/**
-	 * Returns the plan as things stand now.
+	 * Returns the plan for the current target, offers and refused starts.
 	 * @return the plan
 	 */
 	public CapacityPlan plan() {
 		Map<VmKind, Integer> limits = new HashMap<>();
 		Map<VmKind, Integer> running = counts(live());
-		this.backoff.refusedAt(this.clock.instant()).forEach((kind) -> limits.put(kind, running.getOrDefault(kind, 0)));
+		this.backoff.kindsInBackoff(this.clock.instant())
+			.forEach((kind) -> limits.put(kind, running.getOrDefault(kind, 0)));
 		return CapacityPlan.cheapest(this.target, this.offers, limits);
 	}
 
 	/**
-	 * Returns the number of engines that were last read to hold what they should.
+	 * Returns the number of engines whose last state read back is the desired one.
 	 * @return the number of engines
 	 */
 	public int enginesAsWanted() {
-		return this.orders.matching(this.wanted);
+		return this.orders.countMatching(this.desiredState);
 	}
 
 	/**
-	 * Returns the VMs that run, as last listed under the own lease.
+	 * Returns the running VMs as last listed under the own lease.
 	 * @return the number of VMs of each kind
 	 */
 	public Map<VmKind, Integer> running() {
@@ -254,8 +257,8 @@
 	}
 
 	/**
-	 * Returns the capacity that would be left of what runs after the loss of the largest
-	 * zone.
+	 * Returns the capacity of the running VMs that would remain after the loss of the
+	 * largest zone.
 	 * @return the capacity, in the unit of the target
 	 */
 	public double surviving() {
@@ -263,9 +266,9 @@
 	}
 
 	/**
-	 * Returns the price of an hour of what runs.
-	 * @return the price, in the cloud's currency; kinds that are not offered any more
-	 * count nothing
+	 * Returns the price per hour of the running VMs.
+	 * @return the price, in the cloud's currency; kinds that are no longer offered count
+	 * as zero
 	 */
 	public double pricePerHour() {
 		Map<VmKind, Integer> running = running();
@@ -274,29 +277,30 @@
 			.sum();
 	}
 
-	// What an earlier holder did is known only from a new list: acting on an old one
-	// would buy what it has bought already.
-	private void begin(long held) {
-		Invariant.check(held > this.fence, "the fence of %s fell from %s to %s", this.dataCenter, this.fence, held);
-		this.fence = held;
-		this.nextPurchase = 0;
-		this.purchases.clear();
+	// The actions of an earlier holder are visible only in a new list: acting on an old
+	// one would start VMs that it has already started.
+	private void startTerm(long currentFence) {
+		Invariant.check(currentFence > this.fence, "fencing number of %s decreased from %s to %s", this.dataCenter,
+				this.fence, currentFence);
+		this.fence = currentFence;
+		this.nextSequence = 0;
+		this.pendingStarts.clear();
 		this.orders.clear();
 		this.listed = false;
-		this.oldestRequest = this.nextRequest;
+		this.minimumRequest = this.nextRequest;
 		this.listNotBefore = Instant.MIN;
 	}
 
-	private void list(Instant now) {
+	private void requestList(Instant now) {
 		if (!now.isBefore(this.listNotBefore)) {
 			this.listNotBefore = now.plus(this.settings.listInterval());
 			this.port.list(this.nextRequest++);
 		}
 	}
 
-	private void buy(Map<VmKind, Integer> planned, Instant now) {
+	private void startMissing(Map<VmKind, Integer> planned, Instant now) {
 		Map<VmKind, Integer> running = counts(live());
-		this.purchases.values().forEach((purchase) -> running.merge(purchase.kind, 1, Integer::sum));
+		this.pendingStarts.values().forEach((pendingStart) -> running.merge(pendingStart.kind, 1, Integer::sum));
 		for (Map.Entry<VmKind, Integer> entry : planned.entrySet()) {
 			int missing = entry.getValue() - running.getOrDefault(entry.getKey(), 0);
 			for (int count = 0; count < missing && startsInFlight() < this.settings.startsInFlight(); count++) {
@@ -306,51 +310,52 @@
 	}
 
 	private void start(VmKind kind, Instant now) {
-		ClientToken token = ClientToken.of(this.dataCenter, this.fence, this.nextPurchase++);
-		this.purchases.put(token, new Purchase(kind, now.plus(this.settings.callTimeout())));
+		ClientToken token = ClientToken.of(this.dataCenter, this.fence, this.nextSequence++);
+		this.pendingStarts.put(token, new PendingStart(kind, now.plus(this.settings.callTimeout())));
 		this.port.start(token, kind);
 	}
 
-	// The same token again: the cloud answers with the VM of the first call if there is
-	// one, so an answer that was lost buys nothing twice.
-	private void repeatUnanswered(Instant now) {
-		this.purchases.forEach((token, purchase) -> {
-			if (!purchase.bought && !now.isBefore(purchase.retryAt)) {
-				purchase.retryAt = now.plus(this.settings.callTimeout());
-				this.port.start(token, purchase.kind);
+	// Retries use the same token: the cloud returns the VM of the first call if there is
+	// one, so a lost answer does not start a second VM.
+	private void retryUnanswered(Instant now) {
+		this.pendingStarts.forEach((token, pendingStart) -> {
+			if (!pendingStart.started && !now.isBefore(pendingStart.retryAt)) {
+				pendingStart.retryAt = now.plus(this.settings.callTimeout());
+				this.port.start(token, pendingStart.kind);
 			}
 		});
 	}
 
 	private int startsInFlight() {
-		return (int) this.purchases.values().stream().filter((purchase) -> !purchase.bought).count();
+		return (int) this.pendingStarts.values().stream().filter((pendingStart) -> !pendingStart.started).count();
 	}
 
-	// The dearest first, and only while the target stands without it and without all that
-	// was given back but is still listed.
-	private void giveBack(Map<VmKind, Integer> planned, Instant now) {
-		List<CloudVm> kept = new ArrayList<>(live());
-		kept.removeIf((vm) -> this.givenBack.containsKey(vm.id()));
-		Map<VmKind, Integer> rest = counts(kept);
-		kept.removeIf((vm) -> rest.getOrDefault(vm.kind(), 0) <= planned.getOrDefault(vm.kind(), 0));
-		for (CloudVm vm : dearestFirst(kept)) {
-			if (rest.getOrDefault(vm.kind(), 0) <= planned.getOrDefault(vm.kind(), 0)) {
+	// Stops the most expensive VM first, and only if the target is met without it and
+	// without all VMs that are being stopped but are still listed.
+	private void stopExcess(Map<VmKind, Integer> planned, Instant now) {
+		List<CloudVm> removable = new ArrayList<>(live());
+		removable.removeIf((vm) -> this.stopRequests.containsKey(vm.id()));
+		Map<VmKind, Integer> remaining = counts(removable);
+		removable.removeIf((vm) -> remaining.getOrDefault(vm.kind(), 0) <= planned.getOrDefault(vm.kind(), 0));
+		for (CloudVm vm : mostExpensiveFirst(removable)) {
+			if (remaining.getOrDefault(vm.kind(), 0) <= planned.getOrDefault(vm.kind(), 0)) {
 				continue;
 			}
-			rest.merge(vm.kind(), -1, Integer::sum);
-			if (CapacityPlan.surviving(rest, this.offers) >= this.target) {
-				this.givenBack.put(vm.id(), now);
+			remaining.merge(vm.kind(), -1, Integer::sum);
+			if (CapacityPlan.surviving(remaining, this.offers) >= this.target) {
+				this.stopRequests.put(vm.id(), now);
 				this.port.stop(vm.id());
 			}
 			else {
-				rest.merge(vm.kind(), 1, Integer::sum);
+				remaining.merge(vm.kind(), 1, Integer::sum);
 			}
 		}
-		this.givenBack.values()
-			.removeIf((since) -> !now.isBefore(since.plus(this.settings.callTimeout().multipliedBy(2))));
+		this.stopRequests.values()
+			.removeIf((stopRequestedAt) -> !now
+				.isBefore(stopRequestedAt.plus(this.settings.callTimeout().multipliedBy(2))));
 	}
 
-	private List<CloudVm> dearestFirst(List<CloudVm> candidates) {
+	private List<CloudVm> mostExpensiveFirst(List<CloudVm> candidates) {
 		Map<VmKind, Double> prices = this.offers.stream()
 			.collect(Collectors.toMap(Offer::kind, Offer::unitPrice, Math::min));
 		Comparator<CloudVm> byPrice = Comparator.comparing((vm) -> prices.getOrDefault(vm.kind(), Double.MAX_VALUE));
@@ -361,24 +366,24 @@
 		return this.vms.stream().filter((vm) -> !vm.leaving()).toList();
 	}
 
-	private static Map<VmKind, Integer> counts(List<CloudVm> counted) {
+	private static Map<VmKind, Integer> counts(List<CloudVm> countedVms) {
 		Map<VmKind, Integer> counts = new HashMap<>();
-		counted.forEach((vm) -> counts.merge(vm.kind(), 1, Integer::sum));
+		countedVms.forEach((vm) -> counts.merge(vm.kind(), 1, Integer::sum));
 		return counts;
 	}
 
-	/** A VM that was asked for and was not listed yet. */
-	private static final class Purchase {
+	/** A VM whose start was requested and that is not listed yet. */
+	private static final class PendingStart {
 
 		private final VmKind kind;
 
 		private Instant retryAt;
 
-		private boolean bought;
+		private boolean started;
 
-		private long boughtBefore;
+		private long startedBefore;
 
-		Purchase(VmKind kind, Instant retryAt) {
+		PendingStart(VmKind kind, Instant retryAt) {
 			this.kind = kind;
 			this.retryAt = retryAt;
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/StartBackoff.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/StartBackoff.java
@@ -9,57 +9,57 @@
 import java.util.stream.Collectors;
 
 /**
- * Where starts are refused, and until when not to ask again: by zone and machine class.
- * Used by one thread.
+ * The exponential backoff of refused starts for each kind of VM. Used by one thread.
  */
 public final class StartBackoff {
 
-	private static final int LARGEST_EXPONENT = 4;
+	private static final int MAXIMUM_EXPONENT = 4;
 
-	private final Duration first;
+	private final Duration initialDelay;
 
 	private final RandomGenerator random;
 
 	private final Map<VmKind, Refusal> refusals = new HashMap<>();
 
 	/**
-	 * Creates the table.
-	 * @param first the mean wait after a first refusal; it doubles with each further one
-	 * @param random the source of jitter
+	 * Creates the backoff.
+	 * @param initialDelay the mean delay after a first refusal, which doubles with each
+	 * further one
+	 * @param random the random generator for jitter
 	 */
-	public StartBackoff(Duration first, RandomGenerator random) {
-		this.first = first;
+	public StartBackoff(Duration initialDelay, RandomGenerator random) {
+		this.initialDelay = initialDelay;
 		this.random = random;
 	}
 
 	/**
-	 * Notes that a start was refused.
-	 * @param kind what was asked for
-	 * @param now the time
-	 * @param retryAfter when the cloud says to come back, at the earliest
+	 * Records that a start was refused.
+	 * @param kind the requested kind
+	 * @param now the current time
+	 * @param retryAfter the minimum delay, as stated by the cloud
 	 */
-	public void refused(VmKind kind, Instant now, Duration retryAfter) {
-		Refusal before = this.refusals.get(kind);
-		int times = (before != null) ? Math.min(before.times() + 1, LARGEST_EXPONENT) : 0;
-		long nanos = (long) ((this.first.toNanos() << times) * (0.5 + this.random.nextDouble()));
-		Duration wait = Duration.ofNanos(Math.max(nanos, retryAfter.toNanos()));
-		this.refusals.put(kind, new Refusal(times, now.plus(wait)));
+	public void recordRefusal(VmKind kind, Instant now, Duration retryAfter) {
+		Refusal previous = this.refusals.get(kind);
+		int exponent = (previous != null) ? Math.min(previous.exponent() + 1, MAXIMUM_EXPONENT) : 0;
+		long nanos = (long) ((this.initialDelay.toNanos() << exponent) * (0.5 + this.random.nextDouble()));
+		Duration delay = Duration.ofNanos(Math.max(nanos, retryAfter.toNanos()));
+		this.refusals.put(kind, new Refusal(exponent, now.plus(delay)));
 	}
 
 	/**
-	 * Notes that a start worked.
-	 * @param kind what was asked for
+	 * Records that a start succeeded.
+	 * @param kind the requested kind
 	 */
-	public void started(VmKind kind) {
+	public void recordSuccess(VmKind kind) {
 		this.refusals.remove(kind);
 	}
 
 	/**
-	 * Returns what is not to be asked for now.
-	 * @param now the time
+	 * Returns the kinds whose starts must not be retried yet.
+	 * @param now the current time
 	 * @return the kinds
 	 */
-	public Set<VmKind> refusedAt(Instant now) {
+	public Set<VmKind> kindsInBackoff(Instant now) {
 		return this.refusals.entrySet()
 			.stream()
 			.filter((entry) -> now.isBefore(entry.getValue().until()))
@@ -67,8 +67,8 @@
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	/** The refusals of one kind in a row. */
-	private record Refusal(int times, Instant until) {
+	/** The consecutive refusals of one kind. */
+	private record Refusal(int exponent, Instant until) {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/StartResult.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/StartResult.java
@@ -5,12 +5,12 @@
 import org.banyancove.core.VmId;
 
 /**
- * What became of a call that starts a VM.
+ * The result of a call that starts a VM.
  */
 public sealed interface StartResult {
 
 	/**
-	 * The VM was bought, now or by an earlier call with the same token.
+	 * The VM was started by this call or by an earlier one with the same token.
 	 *
 	 * @param vm the VM
 	 */
@@ -19,16 +19,16 @@
 	}
 
 	/**
-	 * The cloud has none to sell. Only for answers that make this sure.
+	 * The cloud has no VM available. Only for answers that exclude a started VM.
 	 *
-	 * @param retryAfter when to come back
+	 * @param retryAfter the delay before a retry
 	 */
 	record Refused(Duration retryAfter) implements StartResult {
 
 	}
 
 	/**
-	 * The VM may have been bought.
+	 * The VM may have been started.
 	 */
 	record Unanswered() implements StartResult {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/VmKind.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/VmKind.java
@@ -4,11 +4,11 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * What tells VMs that can be bought apart.
+ * The attributes that distinguish the VMs offered by the cloud.
  *
  * @param zone the zone
  * @param machineClass the machine class
- * @param reclaimable whether the platform may take the VM back on short notice
+ * @param reclaimable whether the platform may reclaim the VM on short notice
  */
 public record VmKind(ZoneName zone, MachineClass machineClass, boolean reclaimable) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The planner of a data center: its lease, the capacity it wants, and the purchases and
- * orders by which it gets there.
+ * The planner of a data center: its lease, the capacity plan, and the starts, stops and
+ * orders that bring VMs and engines to the desired state.
  */
 @NullMarked
 package org.banyancove.core.planner;
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/CapacityPlanTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/CapacityPlanTests.java
@@ -17,7 +17,7 @@
 class CapacityPlanTests {
 
 	@Property(tries = 200, seed = "6")
-	void thePlanSurvivesTheLossOfAnyZoneAndIsNeverDearerThanOnDemand(@ForAll @IntRange(min = 1, max = 5) int zones,
+	void planSurvivesLossOfAnyZoneAndCostsNoMoreThanOnDemand(@ForAll @IntRange(min = 1, max = 5) int zones,
 			@ForAll @DoubleRange(min = 0, max = 200) double target,
 			@ForAll @DoubleRange(min = 0.1, max = 5) double price) {
 		List<Offer> offers = offers(zones, price);
@@ -26,10 +26,10 @@
 		assertThat(plan.pricePerHour()).isLessThanOrEqualTo(Math.ceil(target) * 3);
 	}
 
-	// Many levels are searched in two passes: the plan must still be as good as the one
-	// that is known to be best, an even spread over all zones without on-demand.
+	// Many levels are searched in two passes. The plan must still cost no more than the
+	// optimum, which is an even spread over all zones without on-demand VMs.
 	@Property(tries = 50, seed = "7")
-	void aLargePlanIsAsGoodAsTheEvenSpread(@ForAll @IntRange(min = 2, max = 5) int zones,
+	void largePlanCostsNoMoreThanEvenSpread(@ForAll @IntRange(min = 2, max = 5) int zones,
 			@ForAll @DoubleRange(min = 300, max = 12_000) double target) {
 		CapacityPlan plan = CapacityPlan.cheapest(target, offers(zones, 1), Map.of());
 		int each = (int) Math.ceil(target / (zones - 1) - 1e-9);
@@ -37,11 +37,11 @@
 		assertThat(plan.pricePerHour()).isLessThanOrEqualTo(each * zones);
 	}
 
-	// Three zones sell reclaimable VMs at a third of the price: 10 survive of 15. Then
-	// one zone refuses starts and has 2 running: the others carry more, with on-demand
-	// beside.
+	// Three zones offer reclaimable VMs at a third of the price: 10 of 15 survive. Then
+	// one zone with 2 running VMs refuses starts, and the others, together with
+	// on-demand VMs, must provide the missing capacity.
 	@Test
-	void aZoneThatRefusesStartsIsReplaced() {
+	void zoneThatRefusesStartsIsReplaced() {
 		List<Offer> offers = offers(3, 1);
 		assertThat(CapacityPlan.cheapest(10, offers, Map.of()).counts().values()).containsExactly(5, 5, 5);
 		VmKind refused = offers.getFirst().kind();
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/ClientTokenTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/ClientTokenTests.java
@@ -13,15 +13,15 @@
 
 	private static final DataCenterName NUMBERED = new DataCenterName("poste-7");
 
-	// Two data centers, the name of one of which begins the other's. The cloud lists by
-	// prefix, so the first one's planner gets the other's VMs too; if it counted them, it
-	// would buy too few and give back what the other needs.
+	// The name of one data center is a prefix of another's. The cloud lists by prefix, so
+	// the first one's planner also receives the other's VMs; if it counted them, it
+	// would start too few VMs and stop those that the other needs.
 	@Test
-	void aDataCenterWhoseNameBeginsAnothersCountsOnlyItsOwnVms() {
-		ClientToken lafayettes = ClientToken.of(LAFAYETTE, 4, 0);
-		assertThat(lafayettes.value()).startsWith(ClientToken.prefix(POSTE));
-		assertThat(lafayettes.isOf(LAFAYETTE)).isTrue();
-		assertThat(lafayettes.isOf(POSTE)).isFalse();
+	void isOfReturnsFalseForDataCenterWithCommonPrefix() {
+		ClientToken token = ClientToken.of(LAFAYETTE, 4, 0);
+		assertThat(token.value()).startsWith(ClientToken.prefix(POSTE));
+		assertThat(token.isOf(LAFAYETTE)).isTrue();
+		assertThat(token.isOf(POSTE)).isFalse();
 		assertThat(ClientToken.of(NUMBERED, 4, 0).isOf(POSTE)).isFalse();
 		assertThat(ClientToken.of(POSTE, 7, 4).isOf(NUMBERED)).isFalse();
 		assertThat(ClientToken.of(POSTE, 7, 4).isOf(POSTE)).isTrue();
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/LeaseTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/LeaseTableTests.java
@@ -21,10 +21,10 @@
 
 	private final LeaseTable table = new LeaseTable();
 
-	// The holder is paused beyond its lease and another process wins. Awake again, its
-	// late renewal must not take the lease back, whoever reads it.
+	// The holder is paused beyond the end of its lease and another process acquires it.
+	// The former holder's late renewal must not replace the new lease.
 	@Test
-	void aPausedHoldersLateRenewalChangesNothing() {
+	void lateRenewalOfFormerHolderIsIgnored() {
 		apply(4, new LeaseRecord.Acquired(id(4), NORTH, FIRST, Duration.ofSeconds(5)), 0);
 		apply(5, new LeaseRecord.Acquired(id(5), NORTH, SECOND, Duration.ofSeconds(5)), 4);
 		assertHeld(FIRST, 4);
@@ -34,10 +34,11 @@
 		assertHeld(SECOND, 6);
 	}
 
-	// Retention has trimmed the record that won the lease. A new reader first takes a
-	// rival that lost for the holder, and learns better from the holder's next renewal.
+	// Retention has removed the record that acquired the lease. A new reader first
+	// applies the renewal of an outdated lease, and then the renewal with the
+	// higher fencing number, which must replace it.
 	@Test
-	void aReaderThatStartsLateLearnsTheLeaseFromItsRenewal() {
+	void lateReaderAppliesRenewalWithHigherFence() {
 		apply(50, new LeaseRecord.Renewed(id(50), NORTH, FIRST, 4, Duration.ofSeconds(5)), 60);
 		apply(51, new LeaseRecord.Renewed(id(51), NORTH, SECOND, 40, Duration.ofSeconds(5)), 61);
 		assertHeld(SECOND, 40);
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerMeasurement.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerMeasurement.java
@@ -18,14 +18,14 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * Measures what a planner's round costs at 11, 1,000 and 12,000 engines: a new list of
- * all VMs, the plan, and a read of every engine. Run by its {@code main}.
+ * Measures the cost of a planner's round with 11, 1,000 and 12,000 engines: a new list of
+ * all VMs, the plan, and a read of every engine's state. Run by its {@code main}.
  */
 public final class PlannerMeasurement {
 
 	private static final int[] SIZES = { 11, 1_000, 12_000 };
 
-	private static final long SHORTEST_NANOS = 2_000_000_000L;
+	private static final long MINIMUM_MEASUREMENT_NANOS = 2_000_000_000L;
 
 	private static final int ZONES = 3;
 
@@ -75,12 +75,12 @@
 		for (int i = 0; i < 3; i++) {
 			work.run();
 		}
-		long begin = System.nanoTime();
+		long startNanos = System.nanoTime();
 		long elapsed = 0;
-		while (elapsed < SHORTEST_NANOS) {
+		while (elapsed < MINIMUM_MEASUREMENT_NANOS) {
 			work.run();
 			count++;
-			elapsed = System.nanoTime() - begin;
+			elapsed = System.nanoTime() - startNanos;
 		}
 		return elapsed / 1e3 / count;
 	}
@@ -92,7 +92,7 @@
 	}
 
 	/**
-	 * A planner that holds the lease, and its rounds.
+	 * A planner that holds the lease, and one round of it.
 	 */
 	private static final class Round implements Runnable, PlannerPort {
 
@@ -153,17 +153,17 @@
 
 		@Override
 		public void start(ClientToken token, VmKind kind) {
-			throw new IllegalStateException("The fleet stands, but bought " + kind);
+			throw new IllegalStateException("No start expected while the target is met: " + kind);
 		}
 
 		@Override
 		public void stop(VmId vm) {
-			throw new IllegalStateException("The fleet stands, but gave back " + vm);
+			throw new IllegalStateException("No stop expected while the target is met: " + vm);
 		}
 
 		@Override
-		public void order(VmId vm, long fence, EngineState wanted) {
-			throw new IllegalStateException("The engine holds what it should, but was ordered: " + vm);
+		public void order(VmId vm, long fence, EngineState desiredState) {
+			throw new IllegalStateException("No order expected for an engine in the desired state: " + vm);
 		}
 
 		@Override
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerRandomisedTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerRandomisedTests.java
@@ -7,27 +7,26 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Long randomised runs of the planner. Any seed and length by
+ * Long randomised simulations of the planner. Seed and length are set with
  * {@code -Dplanner.seed=… -Dplanner.steps=… -Dplanner.runs=…}.
  */
 class PlannerRandomisedTests {
 
 	private static final int STEPS = 6000;
 
-	// What the operator sees: whatever happened before, soon after it ends the data
-	// center has just the VMs that carry the target with a zone lost, each engine holds
-	// what it should, and one process plans. Planners die and are paused with work in
-	// hand, the log and the cloud lose answers, zones refuse starts and are reclaimed,
-	// half of the engines ignore fencing numbers, and the weight store is over its
-	// rate.
+	// Soon after all faults end, the data center has exactly the planned VMs, which meet
+	// the target after the loss of a zone, each engine is in the desired state, and one
+	// process plans. Planners fail and are paused with commands in flight, the log and
+	// the cloud lose answers, zones refuse starts and are reclaimed, half of the
+	// engines ignore fencing numbers, and the rate of the weight store is exceeded.
 	@Property(tries = 12, seed = "20261204")
-	void theFleetComesToThePlanWhateverHappenedBefore(@ForAll long seed) {
+	void convergesToPlanAfterFaults(@ForAll long seed) {
 		run(seed, STEPS);
 	}
 
-	// The runs that a developer asks for by system properties.
+	// Runs the seeds selected by system properties.
 	@Test
-	void theFleetComesToThePlanUnderTheSeedsAskedFor() {
+	void convergesToPlanForSelectedSeeds() {
 		long first = Long.getLong("planner.seed", 7);
 		for (long seed = first; seed < first + Integer.getInteger("planner.runs", 1); seed++) {
 			run(seed, Integer.getInteger("planner.steps", STEPS));
@@ -35,13 +34,13 @@
 	}
 
 	private void run(long seed, int steps) {
-		PlannerWorld world = new PlannerWorld(seed);
+		PlannerSimulation simulation = new PlannerSimulation(seed);
 		try {
-			assertThat(world.run(steps)).containsKeys("vm bought", "fault pause", "fault start answer lost",
-					"start refused", "order taken");
+			assertThat(simulation.run(steps)).containsKeys("vm started", "fault pause", "fault start answer lost",
+					"start refused", "order applied");
 		}
 		finally {
-			System.out.println(world);
+			System.out.println(simulation);
 		}
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSimulation.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSimulation.java
@@ -24,10 +24,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Three planners of one data center over a fake stream of leases, a fake cloud and fake
- * engines, in virtual time. The same seed gives the same run.
+ * A simulation of three planners of one data center with a stream of leases, a cloud and
+ * engines, in virtual time. A run is determined by its seed.
  */
-final class PlannerWorld {
+final class PlannerSimulation {
 
 	private static final Duration STEP = Duration.ofMillis(50);
 
@@ -69,17 +69,17 @@
 
 	private Instant logDownUntil = this.now;
 
-	private Instant loadsFrom = this.now;
+	private Instant storeAvailableAt = this.now;
 
 	private double target = 8;
 
-	private EngineState wanted = new EngineState(Set.of("score-model-0"), Set.of(), "serve");
+	private EngineState desiredState = new EngineState(Set.of("score-model-0"), Set.of(), "serve");
 
 	private long sequence;
 
-	private boolean healed;
+	private boolean faultsEnded;
 
-	PlannerWorld(long seed) {
+	PlannerSimulation(long seed) {
 		this.seed = seed;
 		this.random = new SplittableRandom(seed);
 		for (int zone = 1; zone <= 3; zone++) {
@@ -95,13 +95,13 @@
 
 	Map<String, Integer> run(int steps) {
 		for (int step = 0; step < steps; step++) {
-			act();
+			injectFaults();
 			advance();
 		}
-		this.healed = true;
+		this.faultsEnded = true;
 		this.logDownUntil = this.now;
 		this.refusedUntil.clear();
-		change();
+		changeDesiredState();
 		for (int step = 0; step < 3000; step++) {
 			advance();
 		}
@@ -114,41 +114,42 @@
 		return "planner run: seed " + this.seed + ", " + this.counts;
 	}
 
-	private void act() {
-		change();
-		if (fails("death", 0.002)) {
+	private void injectFaults() {
+		changeDesiredState();
+		if (injectFault("death", 0.002)) {
 			int index = this.random.nextInt(PLANNERS);
 			this.planners.get(index).alive = false;
 			this.planners.set(index, new Planner(index));
 		}
-		if (fails("pause", 0.004)) {
-			any().pausedUntil = this.now.plus(millis(1000, 20_000));
+		if (injectFault("pause", 0.004)) {
+			randomPlanner().pausedUntil = this.now.plus(millis(1000, 20_000));
 		}
-		if (fails("log outage", 0.001)) {
+		if (injectFault("log outage", 0.001)) {
 			this.logDownUntil = this.now.plus(millis(1000, 20_000));
 		}
-		if (fails("zone refuses starts", 0.004)) {
-			this.refusedUntil.put(zone(), this.now.plus(millis(5000, 40_000)));
+		if (injectFault("zone refuses starts", 0.004)) {
+			this.refusedUntil.put(randomZone(), this.now.plus(millis(5000, 40_000)));
 		}
-		if (fails("zone reclaimed", 0.004)) {
-			ZoneName zone = zone();
+		if (injectFault("zone reclaimed", 0.004)) {
+			ZoneName zone = randomZone();
 			this.cloud.values()
 				.stream()
 				.filter((vm) -> vm.kind.reclaimable() && vm.kind.zone().equals(zone))
-				.forEach(this::end);
+				.forEach(this::endVm);
 		}
 	}
 
-	// Operators and load change what is wanted; each planner hears of it in its own time.
-	private void change() {
-		if (fails("other target", 0.003)) {
+	// Operators and load determine the desired state, which reaches each planner after a
+	// random delay.
+	private void changeDesiredState() {
+		if (injectFault("other target", 0.003)) {
 			this.target = this.random.nextInt(2, LARGEST_TARGET + 1);
 		}
-		if (fails("other model version", 0.003)) {
-			this.wanted = new EngineState(Set.of("score-model-" + this.sequence), Set.of(), "serve");
+		if (injectFault("other model version", 0.003)) {
+			this.desiredState = new EngineState(Set.of("score-model-" + this.sequence), Set.of(), "serve");
 		}
-		if (this.healed || this.random.nextDouble() < 0.01) {
-			this.planners.forEach((planner) -> schedule(millis(10, 3000), planner::hear));
+		if (this.faultsEnded || this.random.nextDouble() < 0.01) {
+			this.planners.forEach((planner) -> schedule(millis(10, 3000), planner::receiveDesiredState));
 		}
 	}
 
@@ -157,12 +158,12 @@
 		while (!this.events.isEmpty() && !this.events.peek().at().isAfter(this.now)) {
 			this.events.remove().action().run();
 		}
-		this.planners.forEach(Planner::wake);
-		account();
+		this.planners.forEach(Planner::step);
+		recordCosts();
 	}
 
-	// A fixed fleet carries the largest target by the cheapest on-demand VMs.
-	private void account() {
+	// A fixed fleet provides the largest target with the cheapest on-demand VMs.
+	private void recordCosts() {
 		Map<VmKind, Double> prices = this.offers.stream().collect(Collectors.toMap(Offer::kind, Offer::pricePerHour));
 		double spent = liveVms().stream().mapToDouble((vm) -> prices.get(vm.kind)).sum();
 		double capacity = this.offers.stream()
@@ -179,10 +180,11 @@
 		assertThat(holders).as("holders, %s", this).hasSize(1);
 		Map<VmKind, Integer> live = new HashMap<>();
 		liveVms().forEach((vm) -> live.merge(vm.kind, 1, Integer::sum));
-		assertThat(CapacityPlan.surviving(live, this.offers)).as("after a zone's loss, %s", this)
+		assertThat(CapacityPlan.surviving(live, this.offers)).as("capacity after the loss of a zone, %s", this)
 			.isGreaterThanOrEqualTo(this.target);
 		assertThat(live).as("VMs, %s", this).isEqualTo(holders.getFirst().system.plan().counts());
-		assertThat(liveVms()).as("engines, %s", this).allSatisfy((vm) -> assertThat(vm.state).isEqualTo(this.wanted));
+		assertThat(liveVms()).as("engines, %s", this)
+			.allSatisfy((vm) -> assertThat(vm.state).isEqualTo(this.desiredState));
 		assertThat(holders.getFirst().system.enginesAsWanted()).isEqualTo(liveVms().size());
 	}
 
@@ -190,23 +192,23 @@
 		return this.cloud.values().stream().filter((vm) -> !vm.ended).toList();
 	}
 
-	private void end(Vm vm) {
+	private void endVm(Vm vm) {
 		if (!vm.ended) {
 			vm.ended = true;
 			count("vm ended");
 		}
 	}
 
-	private Planner any() {
+	private Planner randomPlanner() {
 		return this.planners.get(this.random.nextInt(PLANNERS));
 	}
 
-	private ZoneName zone() {
+	private ZoneName randomZone() {
 		return this.offers.get(this.random.nextInt(this.offers.size())).zone();
 	}
 
-	private boolean fails(String kind, double probability) {
-		if (this.healed || this.random.nextDouble() >= probability) {
+	private boolean injectFault(String kind, double probability) {
+		if (this.faultsEnded || this.random.nextDouble() >= probability) {
 			return false;
 		}
 		count("fault " + kind);
@@ -227,11 +229,11 @@
 
 	private boolean storeBusy() {
 		Instant earliest = this.now.minusSeconds(3);
-		this.loadsFrom = this.loadsFrom.isBefore(earliest) ? earliest : this.loadsFrom;
-		if (this.loadsFrom.isAfter(this.now)) {
+		this.storeAvailableAt = this.storeAvailableAt.isBefore(earliest) ? earliest : this.storeAvailableAt;
+		if (this.storeAvailableAt.isAfter(this.now)) {
 			return true;
 		}
-		this.loadsFrom = this.loadsFrom.plusMillis(400);
+		this.storeAvailableAt = this.storeAvailableAt.plusMillis(400);
 		return false;
 	}
 
@@ -243,7 +245,7 @@
 
 	}
 
-	/** A VM with its engine; every other one ignores fencing numbers. */
+	/** A VM with its engine; every second one ignores fencing numbers. */
 	private static final class Vm {
 
 		private final VmId id;
@@ -266,7 +268,7 @@
 
 	}
 
-	/** One life of one planner process. */
+	/** One incarnation of a planner process. */
 	private final class Planner implements PlannerPort {
 
 		private final Incarnation self;
@@ -275,49 +277,49 @@
 
 		private final List<Consumer<PlannerSystem>> inbox = new ArrayList<>();
 
-		private Instant pausedUntil = PlannerWorld.this.now;
+		private Instant pausedUntil = PlannerSimulation.this.now;
 
 		private boolean alive = true;
 
-		private int read;
+		private int nextOffset;
 
 		Planner(int index) {
-			this.self = new Incarnation(new VmId("entry-" + index), PlannerWorld.this.random.nextLong());
-			this.system = new PlannerSystem(this.self, DATA_CENTER, () -> PlannerWorld.this.now,
-					PlannerWorld.this.random.split(), SETTINGS, this);
-			this.system.want(PlannerWorld.this.target, PlannerWorld.this.wanted);
-			this.system.offered(PlannerWorld.this.offers);
+			this.self = new Incarnation(new VmId("entry-" + index), PlannerSimulation.this.random.nextLong());
+			this.system = new PlannerSystem(this.self, DATA_CENTER, () -> PlannerSimulation.this.now,
+					PlannerSimulation.this.random.split(), SETTINGS, this);
+			this.system.want(PlannerSimulation.this.target, PlannerSimulation.this.desiredState);
+			this.system.offered(PlannerSimulation.this.offers);
 		}
 
-		void hear() {
-			double carried = PlannerWorld.this.target;
-			EngineState held = PlannerWorld.this.wanted;
-			this.inbox.add((target) -> target.want(carried, held));
+		void receiveDesiredState() {
+			double newTarget = PlannerSimulation.this.target;
+			EngineState newState = PlannerSimulation.this.desiredState;
+			this.inbox.add((target) -> target.want(newTarget, newState));
 		}
 
-		void wake() {
-			PlannerWorld world = PlannerWorld.this;
-			if (!this.alive || world.now.isBefore(this.pausedUntil)) {
+		void step() {
+			PlannerSimulation simulation = PlannerSimulation.this;
+			if (!this.alive || simulation.now.isBefore(this.pausedUntil)) {
 				return;
 			}
 			List<Consumer<PlannerSystem>> messages = List.copyOf(this.inbox);
 			this.inbox.clear();
-			// What a process has ready when it is woken goes out before it reads on.
+			// A resumed process sends its pending commands before it reads the log.
 			this.system.tick();
 			messages.forEach((message) -> message.accept(this.system));
-			while (!world.now.isBefore(world.logDownUntil) && this.read < world.leases.size()) {
-				Logged logged = world.leases.get(this.read);
-				this.system.leaseRead(this.read++, logged.record(), logged.at());
+			while (!simulation.now.isBefore(simulation.logDownUntil) && this.nextOffset < simulation.leases.size()) {
+				Logged logged = simulation.leases.get(this.nextOffset);
+				this.system.leaseRead(this.nextOffset++, logged.record(), logged.at());
 			}
 		}
 
 		@Override
 		public void append(LeaseRecord record) {
-			PlannerWorld world = PlannerWorld.this;
-			boolean late = fails("lease append late", 0.03);
+			PlannerSimulation simulation = PlannerSimulation.this;
+			boolean late = injectFault("lease append late", 0.03);
 			schedule(millis(5, 100).plus(late ? millis(1000, 20_000) : Duration.ZERO), () -> {
-				if (!world.now.isBefore(world.logDownUntil)) {
-					world.leases.add(new Logged(record, world.now));
+				if (!simulation.now.isBefore(simulation.logDownUntil)) {
+					simulation.leases.add(new Logged(record, simulation.now));
 				}
 			});
 		}
@@ -325,38 +327,38 @@
 		@Override
 		public void list(long request) {
 			schedule(millis(5, 50), () -> {
-				List<CloudVm> found = PlannerWorld.this.cloud.entrySet()
+				List<CloudVm> found = PlannerSimulation.this.cloud.entrySet()
 					.stream()
 					.map((entry) -> new CloudVm(entry.getValue().id, entry.getKey(), entry.getValue().kind,
 							entry.getValue().ended))
 					.toList();
-				reply(fails("list slow", 0.05), (target) -> target.listed(request, found));
+				reply(injectFault("list slow", 0.05), (target) -> target.listed(request, found));
 			});
 		}
 
 		@Override
 		public void start(ClientToken token, VmKind kind) {
-			acts();
+			recordActor();
 			schedule(millis(5, 300), () -> {
-				StartResult result = buy(token, kind);
-				boolean lost = fails("start answer lost", 0.1);
+				StartResult result = startVm(token, kind);
+				boolean lost = injectFault("start answer lost", 0.1);
 				reply(false, (target) -> target.startAnswered(token, lost ? new StartResult.Unanswered() : result));
 			});
 		}
 
 		@Override
 		public void stop(VmId vm) {
-			acts();
-			if (!fails("stop lost", 0.1)) {
-				schedule(millis(5, 300), () -> with(vm, PlannerWorld.this::end));
+			recordActor();
+			if (!injectFault("stop lost", 0.1)) {
+				schedule(millis(5, 300), () -> withVm(vm, PlannerSimulation.this::endVm));
 			}
 		}
 
 		@Override
 		public void order(VmId vm, long fence, EngineState state) {
-			acts();
-			boolean late = fails("order late", 0.05);
-			schedule(millis(5, 100).plus(late ? millis(500, 5000) : Duration.ZERO), () -> with(vm, (engine) -> {
+			recordActor();
+			boolean late = injectFault("order late", 0.05);
+			schedule(millis(5, 100).plus(late ? millis(500, 5000) : Duration.ZERO), () -> withVm(vm, (engine) -> {
 				if (engine.checksFence && fence < engine.fence) {
 					count("order fenced");
 					reply(false, (target) -> target.orderAnswered(vm, new OrderResult.Fenced()));
@@ -369,44 +371,44 @@
 				else {
 					engine.fence = Math.max(fence, engine.fence);
 					engine.state = state;
-					count("order taken");
+					count("order applied");
 				}
 			}));
 		}
 
 		@Override
 		public void readBack(VmId vm) {
-			schedule(millis(5, 50), () -> with(vm, (engine) -> {
+			schedule(millis(5, 50), () -> withVm(vm, (engine) -> {
 				EngineState state = engine.state;
-				reply(fails("read-back slow", 0.02),
+				reply(injectFault("read-back slow", 0.02),
 						(target) -> target.orderAnswered(vm, new OrderResult.ReadBack(state)));
 			}));
 		}
 
-		private StartResult buy(ClientToken token, VmKind kind) {
-			PlannerWorld world = PlannerWorld.this;
-			if (world.cloud.containsKey(token)) {
-				return new StartResult.Started(world.cloud.get(token).id);
+		private StartResult startVm(ClientToken token, VmKind kind) {
+			PlannerSimulation simulation = PlannerSimulation.this;
+			if (simulation.cloud.containsKey(token)) {
+				return new StartResult.Started(simulation.cloud.get(token).id);
 			}
-			Instant refused = world.refusedUntil.getOrDefault(kind.zone(), Instant.MIN);
-			if (world.now.isBefore(refused)) {
+			Instant refused = simulation.refusedUntil.getOrDefault(kind.zone(), Instant.MIN);
+			if (simulation.now.isBefore(refused)) {
 				count("start refused");
 				return new StartResult.Refused(Duration.ofMillis(500));
 			}
-			Vm vm = new Vm(new VmId("vm-" + world.cloud.size()), kind, world.cloud.size() % 2 == 0);
-			world.cloud.put(token, vm);
-			count("vm bought");
-			assertThat(liveVms()).as("live VMs, %s", world).hasSizeLessThan(60);
+			Vm vm = new Vm(new VmId("vm-" + simulation.cloud.size()), kind, simulation.cloud.size() % 2 == 0);
+			simulation.cloud.put(token, vm);
+			count("vm started");
+			assertThat(liveVms()).as("live VMs, %s", simulation).hasSizeLessThan(60);
 			return new StartResult.Started(vm.id);
 		}
 
-		private void acts() {
+		private void recordActor() {
 			long fence = this.system.fence().orElseThrow();
-			assertThat(PlannerWorld.this.actors.putIfAbsent(fence, this.self)).as("actor under fence %s", fence)
+			assertThat(PlannerSimulation.this.actors.putIfAbsent(fence, this.self)).as("actor under fence %s", fence)
 				.isIn(null, this.self);
 		}
 
-		private void with(VmId id, Consumer<Vm> action) {
+		private void withVm(VmId id, Consumer<Vm> action) {
 			liveVms().stream().filter((vm) -> vm.id.equals(id)).findFirst().ifPresent(action);
 		}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSystemTests.java
@@ -23,9 +23,9 @@
 
 	private static final Offer ON_DEMAND = new Offer(new ZoneName("zone-1"), new MachineClass("small"), false, 3, 1);
 
-	private static final EngineState WANTED = new EngineState(Set.of("new-model"), Set.of(), "serve");
+	private static final EngineState DESIRED_STATE = new EngineState(Set.of("new-model"), Set.of(), "serve");
 
-	private static final EngineState OLD = new EngineState(Set.of("old-model"), Set.of(), "serve");
+	private static final EngineState OLD_STATE = new EngineState(Set.of("old-model"), Set.of(), "serve");
 
 	private static final CloudVm VM = new CloudVm(new VmId("vm"), new ClientToken("north1-0-0"), ON_DEMAND.kind(),
 			false);
@@ -46,16 +46,16 @@
 			new SplittableRandom(1), PlannerSettings.defaults(), this);
 
 	PlannerSystemTests() {
-		this.system.want(1, WANTED);
+		this.system.want(1, DESIRED_STATE);
 		this.system.offered(List.of(ON_DEMAND));
 		tickAfter(Duration.ZERO);
 		this.system.leaseRead(0, this.appended.getFirst(), this.now);
 	}
 
-	// The cloud sells a VM and its answer is lost. The planner asks again under the same
-	// token, however often, so that the operator pays for one VM.
+	// The cloud starts a VM and its answer is lost. The planner retries with the same
+	// token, so that the operator pays for one VM.
 	@Test
-	void aStartWithoutAnAnswerIsRepeatedUnderItsToken() {
+	void unansweredStartIsRetriedWithSameToken() {
 		tickAfter(Duration.ZERO);
 		this.system.listed(this.lists.getLast(), List.of());
 		tickAfter(Duration.ZERO);
@@ -65,10 +65,11 @@
 		assertThat(Set.copyOf(this.started)).hasSize(1);
 	}
 
-	// A planner takes over. What its predecessor bought is known only from a list asked
-	// for under its own lease; acting before would buy it again.
+	// A planner acquires the lease. The VMs started by its predecessor are visible
+	// only in a list requested under its own lease; acting earlier would start them
+	// again.
 	@Test
-	void nothingIsBoughtBeforeAListUnderTheOwnLease() {
+	void noStartBeforeListUnderOwnLease() {
 		tickAfter(Duration.ZERO);
 		tickAfter(Duration.ofMillis(10));
 		assertThat(this.started).isEmpty();
@@ -77,10 +78,11 @@
 		assertThat(this.started).isEmpty();
 	}
 
-	// A planner loses its lease and wins it again. Its old list does not show what the
-	// one in between bought, so a change of the target must wait for a new list.
+	// A planner loses its lease and acquires it again. Its old list does not contain the
+	// VMs started by the holder in between, so a change of the target must wait for a
+	// new list.
 	@Test
-	void nothingIsBoughtByAListOfAnEarlierLease() {
+	void noStartBasedOnListOfEarlierLease() {
 		tickAfter(Duration.ZERO);
 		this.system.listed(this.lists.getLast(), List.of());
 		tickAfter(Duration.ZERO);
@@ -90,34 +92,35 @@
 		this.system.leaseRead(1, new LeaseRecord.Renewed(new RecordId("r"), NORTH, other, 1, lease), this.now);
 		tickAfter(lease);
 		this.system.leaseRead(2, this.appended.getLast(), this.now);
-		this.system.want(2, WANTED);
+		this.system.want(2, DESIRED_STATE);
 		tickAfter(Duration.ofMillis(10));
 		assertThat(this.system.fence()).hasValue(2);
 		assertThat(this.started).hasSize(1);
 	}
 
-	// A former holder, paused with an order in hand, sends it after the new one's. The
-	// engine ignores fencing numbers and loads the old model; the planner, which reads
-	// back engines that were right as well, orders the wanted state again.
+	// A former holder, paused before sending an order, sends it after the new holder's
+	// order. The engine ignores fencing numbers and loads the old model. The planner,
+	// which also reads back engines that matched, orders the desired state again.
 	@Test
-	void anEngineChangedByAFormerHolderIsOrderedAgain() {
+	void engineChangedByFormerHolderIsOrderedAgain() {
 		tickAfter(Duration.ZERO);
 		this.system.listed(this.lists.getLast(), List.of(VM));
 		tickAfter(Duration.ZERO);
-		this.system.orderAnswered(VM.id(), new OrderResult.ReadBack(WANTED));
+		this.system.orderAnswered(VM.id(), new OrderResult.ReadBack(DESIRED_STATE));
 		int before = this.readBacks;
 		tickAfter(PlannerSettings.defaults().orderInterval());
 		assertThat(this.readBacks).isGreaterThan(before);
 		assertThat(this.ordered).isEmpty();
-		this.system.orderAnswered(VM.id(), new OrderResult.ReadBack(OLD));
+		this.system.orderAnswered(VM.id(), new OrderResult.ReadBack(OLD_STATE));
 		tickAfter(PlannerSettings.defaults().orderInterval());
-		assertThat(this.ordered).containsExactly(WANTED);
+		assertThat(this.ordered).containsExactly(DESIRED_STATE);
 	}
 
-	// The holder is paused, or the log is down, for longer than its lease: it must stop
-	// acting by its own clock, without having read that another one won.
+	// The holder is paused, or the log is unavailable, for longer than its lease. It must
+	// stop acting by its own clock, without having read that another process acquired
+	// the lease.
 	@Test
-	void aHolderThatCouldNotRenewDoesNotAct() {
+	void holderThatCouldNotRenewDoesNotAct() {
 		tickAfter(PlannerSettings.defaults().lease());
 		assertThat(this.system.fence()).isEmpty();
 		assertThat(this.lists).isEmpty();
@@ -140,7 +143,7 @@
 
 	@Override
 	public void stop(VmId vm) {
-		throw new AssertionError("nothing may be given back: " + vm);
+		throw new AssertionError("No VM may be stopped: " + vm);
 	}
 
 	@Override
