--- a/banyancove-core/src/main/java/org/banyancove/core/profile/CheckpointMark.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/CheckpointMark.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 /**
- * Where the stream's last checkpoint stands.
+ * The position of the stream's last checkpoint.
  *
  * @param offset its offset
  * @param appendedAt the platform's time of its append
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/CheckpointSchedule.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/CheckpointSchedule.java
@@ -10,14 +10,15 @@
 /**
  * Decides when a reader appends a checkpoint of the profiles.
  * <p>
- * Retention trims changes and checkpoints alike, so a checkpoint is due again and again
- * while anything is published, also when nothing changes: otherwise a process that starts
- * after the last record was trimmed, with no peer to ask, would know no profile. Every
- * reader may write it; each waits a random part of the interval longer, and whoever is
- * first spares the others.
+ * Retention removes checkpoints as well as changes, so a checkpoint is due periodically
+ * while anything is published, also when nothing changes: otherwise a process without
+ * peers that starts after the last record was removed would find no profile. Any reader
+ * may write it; each waits for an additional random part of the interval, and the first
+ * one makes the others' checkpoints unnecessary.
  * <p>
- * Ages are taken between the platform's time of the append and this clock. A wrong clock
- * costs a checkpoint too many or some of the margin before retention, and nothing else.
+ * An age is the difference between the platform's time of the append and this clock. An
+ * inaccurate clock only causes an unnecessary checkpoint or reduces the margin before
+ * retention.
  */
 public final class CheckpointSchedule {
 
@@ -33,12 +34,12 @@
 
 	/**
 	 * Creates a schedule.
-	 * @param interval the age of the last checkpoint from which one is due, a third of
-	 * the retention or less
-	 * @param maximumChanges the records after which one is due at once, which bounds what
-	 * a fresh process reads
-	 * @param clock tells the time
-	 * @param random spreads the readers
+	 * @param interval the age of the last checkpoint at which the next one is due, at
+	 * most a third of the retention
+	 * @param maximumChanges the number of records after which a checkpoint is due in any
+	 * case, which bounds the records that a new process reads
+	 * @param clock the clock
+	 * @param random the random generator for the delays of the readers
 	 */
 	public CheckpointSchedule(Duration interval, int maximumChanges, InstantSource clock, RandomGenerator random) {
 		if (!interval.isPositive()) {
@@ -51,9 +52,10 @@
 	}
 
 	/**
-	 * Returns the checkpoint to append now. Asked once a second or so; after one is
-	 * returned, none is until the spread has passed again.
-	 * @param view the reading view
+	 * Returns the checkpoint to append now. Called about once per second; after a
+	 * checkpoint was returned, the next is returned after half the interval at the
+	 * earliest.
+	 * @param view the view of the reader
 	 * @return the checkpoint, or {@code null} while none is due
 	 */
 	public ProfileRecord.@Nullable ProfilesCheckpoint due(ProfileView view) {
@@ -63,7 +65,7 @@
 			return null;
 		}
 		if (this.notBefore == null) {
-			this.notBefore = now.plus(spread());
+			this.notBefore = now.plus(randomDelay());
 			return null;
 		}
 		if (now.isBefore(this.notBefore)) {
@@ -82,7 +84,7 @@
 				|| !now.isBefore(last.appendedAt().plus(this.interval));
 	}
 
-	private Duration spread() {
+	private Duration randomDelay() {
 		return Duration.ofMillis(this.random.nextLong(this.interval.dividedBy(2).toMillis() + 1));
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/DecidedChange.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/DecidedChange.java
@@ -1,8 +1,8 @@
 package org.banyancove.core.profile;
 
 /**
- * A change that was accepted or rejected not long ago, so that copies of its record count
- * once.
+ * A change that was accepted or rejected recently, retained to recognize duplicates of
+ * its record.
  *
  * @param offset the offset of the record's first copy
  * @param recordId the record's identifier
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/PlacementPolicyName.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/PlacementPolicyName.java
@@ -1,14 +1,14 @@
 package org.banyancove.core.profile;
 
 /**
- * The placement policies that a profile can choose.
+ * The placement policies of a profile.
  */
 public enum PlacementPolicyName {
 
-	/** The cheapest endpoint predicted to meet the target, else the soonest. */
+	/** The cheapest endpoint predicted to meet the target, or else the earliest. */
 	COST_AT_TARGET,
 
-	/** Each endpoint in turn. */
+	/** The endpoints in turn. */
 	ROUND_ROBIN,
 
 	/** The endpoint with the fewest requests in flight. */
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/Profile.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/Profile.java
@@ -5,23 +5,22 @@
 import org.banyancove.core.ProfileName;
 
 /**
- * What a class of traffic deserves.
+ * The service level of a class of traffic.
  *
  * @param name the profile's name
- * @param firstTokenTarget the time to the first token, or to the answer of a plain
- * service, that requests should meet
- * @param tokenTarget the time between tokens that requests should meet
- * @param deadline the time after which an answer is of no use
- * @param objective the share of requests that should meet the targets, above 0 and below
- * 1
- * @param priority the priority at engines, 0 the most urgent
+ * @param firstTokenTarget the target for the time to the first token, or to the answer of
+ * a plain service
+ * @param tokenTarget the target for the time between tokens
+ * @param deadline the time after which an answer is useless
+ * @param objective the objective for the share of requests that meet the targets, above 0
+ * and below 1
+ * @param priority the priority at engines, where 0 is the highest
  * @param policy the placement policy
- * @param retryRatio the retries allowed for each first attempt
- * @param accountShare the largest share of a service's capacity that one account may use
+ * @param retryRatio the number of retries allowed per first attempt
+ * @param accountShare the maximum share of a service's capacity that one account may use
  * while others wait, above 0 and at most 1
- * @param keyRequired whether a call that may not be repeated must carry an idempotency
- * key
- * @param maximumBodyBytes the largest body taken, in bytes
+ * @param keyRequired whether a call that must not be repeated requires an idempotency key
+ * @param maximumBodyBytes the maximum size of a request body, in bytes
  */
 public record Profile(ProfileName name, Duration firstTokenTarget, Duration tokenTarget, Duration deadline,
 		double objective, int priority, PlacementPolicyName policy, double retryRatio, double accountShare,
@@ -46,9 +45,9 @@
 		check(value.isPositive(), field, "be positive", value);
 	}
 
-	private static void check(boolean holds, String field, String rule, Object value) {
-		if (!holds) {
-			throw new IllegalArgumentException(field + " must " + rule + ": " + value);
+	private static void check(boolean valid, String field, String requirement, Object value) {
+		if (!valid) {
+			throw new IllegalArgumentException(field + " must " + requirement + ": " + value);
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileEntry.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileEntry.java
@@ -5,11 +5,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A record of the profiles stream at its place.
+ * A record of the profiles stream with its offset.
  *
- * @param offset the place
+ * @param offset the offset
  * @param appendedAt the platform's time of the append
- * @param record the record, or {@code null} for a kind that this version does not know
+ * @param record the record, or {@code null} for a kind that this version does not support
  */
 public record ProfileEntry(long offset, Instant appendedAt, @Nullable ProfileRecord record) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileOutcome.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileOutcome.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.profile;
 
 /**
- * What became of one record of the profiles stream. Every reader comes to the same one.
+ * The outcome of one record of the profiles stream, which is the same at every reader.
  */
 public sealed interface ProfileOutcome {
 
@@ -12,9 +12,9 @@
 	long offset();
 
 	/**
-	 * The change is in force.
+	 * The change was accepted.
 	 *
-	 * @param offset the record's offset, which is the object's revision from now on
+	 * @param offset the record's offset, which is the object's new revision
 	 * @param change the change
 	 */
 	record Accepted(long offset, ProfileRecord.Change change) implements ProfileOutcome {
@@ -22,12 +22,12 @@
 	}
 
 	/**
-	 * The change has no effect, for good.
+	 * The change was rejected permanently.
 	 *
 	 * @param offset the record's offset
 	 * @param change the change
-	 * @param reason why
-	 * @param currentRevision the object's revision, which the change should have named
+	 * @param reason the reason
+	 * @param currentRevision the object's current revision
 	 */
 	record Rejected(long offset, ProfileRecord.Change change, RejectionReason reason,
 			long currentRevision) implements ProfileOutcome {
@@ -35,22 +35,22 @@
 	}
 
 	/**
-	 * The record is a further copy of one that was decided before.
+	 * The record is a duplicate of a decided one.
 	 *
-	 * @param offset the copy's offset
-	 * @param first what became of the first copy
+	 * @param offset the duplicate's offset
+	 * @param first the decision on the first copy
 	 */
-	record Repeated(long offset, DecidedChange first) implements ProfileOutcome {
+	record Duplicate(long offset, DecidedChange first) implements ProfileOutcome {
 
 	}
 
 	/**
-	 * The record changes nothing: a checkpoint, or a kind that this version does not
-	 * know.
+	 * The record changes nothing: it is a checkpoint, or of a kind that this version does
+	 * not support.
 	 *
 	 * @param offset the record's offset
 	 */
-	record Passed(long offset) implements ProfileOutcome {
+	record Ignored(long offset) implements ProfileOutcome {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfilePage.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfilePage.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Part of the profiles stream, as the log or a peer gave it.
+ * A page of the profiles stream, received from the log or a peer.
  *
- * @param firstRetained the lowest offset that the log still keeps
- * @param endOffset the offset that the stream's next record will get
- * @param entries the records, in order of offsets without a gap
+ * @param firstRetained the lowest offset that the log retains
+ * @param endOffset the offset of the next record to be appended
+ * @param entries the records, in the order of their offsets without a gap
  */
 public record ProfilePage(long firstRetained, long endOffset, List<ProfileEntry> entries) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileRecord.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileRecord.java
@@ -8,19 +8,19 @@
 public sealed interface ProfileRecord {
 
 	/**
-	 * A change that operators ask for. Whether it is accepted is decided when the stream
-	 * is read: it is if the object still has the revision that the change was made from.
+	 * A change requested by an operator. The decision is made when the stream is read:
+	 * the change is accepted if the object still has the revision on which it is based.
 	 */
 	sealed interface Change extends ProfileRecord {
 
 		/**
-		 * Returns the record's own identifier, under which copies count once.
+		 * Returns the record's identifier, by which duplicates are recognized.
 		 * @return the identifier
 		 */
 		String recordId();
 
 		/**
-		 * Returns the revision that the change was made from.
+		 * Returns the revision on which the change is based.
 		 * @return the offset of the object's last accepted change, or
 		 * {@link ProfileTable#NO_REVISION} to create it
 		 */
@@ -31,9 +31,9 @@
 	/**
 	 * Creates or replaces a profile.
 	 *
-	 * @param recordId the record's own identifier
-	 * @param expectedRevision the revision that the change was made from
-	 * @param profile the profile from now on
+	 * @param recordId the record's identifier
+	 * @param expectedRevision the revision on which the change is based
+	 * @param profile the new profile
 	 */
 	record ProfileChanged(String recordId, long expectedRevision, Profile profile) implements Change {
 
@@ -42,19 +42,19 @@
 	/**
 	 * Creates or replaces a service.
 	 *
-	 * @param recordId the record's own identifier
-	 * @param expectedRevision the revision that the change was made from
-	 * @param service the service from now on
+	 * @param recordId the record's identifier
+	 * @param expectedRevision the revision on which the change is based
+	 * @param service the new service
 	 */
 	record ServiceChanged(String recordId, long expectedRevision, ServiceDefinition service) implements Change {
 
 	}
 
 	/**
-	 * Retires a service: new work is refused and accepted work finishes.
+	 * Retires a service: new requests are refused and accepted ones complete.
 	 *
-	 * @param recordId the record's own identifier
-	 * @param expectedRevision the revision that the change was made from
+	 * @param recordId the record's identifier
+	 * @param expectedRevision the revision on which the change is based
 	 * @param service the service
 	 */
 	record ServiceRetired(String recordId, long expectedRevision, ServiceName service) implements Change {
@@ -62,10 +62,10 @@
 	}
 
 	/**
-	 * What the stream says up to an offset, written by any reader before retention trims
-	 * the records that it stands for.
+	 * The state of the stream at an offset, written by any reader before retention
+	 * removes the records that it replaces.
 	 *
-	 * @param state the state, which names the offset it stands for
+	 * @param state the state with its offset
 	 */
 	record ProfilesCheckpoint(ProfileTableState state) implements ProfileRecord {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileTable.java
@@ -18,25 +18,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The profiles and services in force: a deterministic fold of the profiles stream.
+ * The current profiles and services, computed by a deterministic replay of the profiles
+ * stream.
  * <p>
- * Two operators may change one object at the same time, and each may be told nothing
- * because the answer to its append is lost. So nobody decides when writing: a change
- * names the revision it was made from, and the first such record in the stream wins at
- * every reader alike. The table only moves to higher offsets, so that what was in force
- * never reverts.
+ * Two operators may change one object at the same time, and the answers to their appends
+ * may be lost. Changes are hence decided when they are read (optimistic concurrency
+ * control): a change contains the revision on which it is based, and the first such
+ * record in the stream is accepted by every reader. The table only advances to higher
+ * offsets, so that accepted changes never revert.
  * <p>
  * Used by one thread, the entry's tick loop.
  */
 public final class ProfileTable {
 
-	/** The revision of an object that nobody has published yet. */
+	/** The revision of an object that is not published yet. */
 	public static final long NO_REVISION = -1;
 
 	/**
-	 * The offsets for which record identifiers are kept. A copy that arrives later is
-	 * rejected by its revision in any case, unless its first copy was rejected for an
-	 * unknown name.
+	 * The number of offsets for which record identifiers are retained. A duplicate that
+	 * arrives later is rejected because of its revision, unless the first copy was
+	 * rejected for an unknown name.
 	 */
 	public static final int DECIDED_WINDOW = 1024;
 
@@ -53,7 +54,7 @@
 	private @Nullable CheckpointMark lastCheckpoint;
 
 	/**
-	 * Returns the offset of the record that comes next.
+	 * Returns the offset of the next record.
 	 * @return the offset
 	 */
 	public long nextOffset() {
@@ -63,35 +64,35 @@
 	/**
 	 * Applies the next record.
 	 * @param entry the record, whose offset is {@link #nextOffset()}
-	 * @return what became of it
+	 * @return the outcome
 	 * @throws org.banyancove.core.InvariantViolationException if the offset is not the
 	 * next one
 	 */
 	public ProfileOutcome apply(ProfileEntry entry) {
 		long offset = entry.offset();
-		Invariant.check(offset == nextOffset(), "profiles are applied in order: offset %s came where %s is next",
+		Invariant.check(offset == nextOffset(), "profile records must be applied in order: offset %s, expected %s",
 				offset, nextOffset());
 		ProfileOutcome outcome = switch (entry.record()) {
 			case ProfileRecord.Change change -> decide(offset, change);
-			case ProfileRecord.ProfilesCheckpoint checkpoint -> mark(entry);
-			case null -> new ProfileOutcome.Passed(offset);
+			case ProfileRecord.ProfilesCheckpoint checkpoint -> recordCheckpoint(entry);
+			case null -> new ProfileOutcome.Ignored(offset);
 		};
 		this.throughOffset = offset;
-		forgetBefore(offset - DECIDED_WINDOW + 1);
+		removeDecisionsBefore(offset - DECIDED_WINDOW + 1);
 		return outcome;
 	}
 
 	/**
-	 * Returns where the last checkpoint stands.
-	 * @return the mark, or {@code null} if the stream has none yet
+	 * Returns the position of the last checkpoint.
+	 * @return the position, or {@code null} if the stream has no checkpoint yet
 	 */
 	public @Nullable CheckpointMark lastCheckpoint() {
 		return this.lastCheckpoint;
 	}
 
 	/**
-	 * Returns what became of a change decided within the last {@link #DECIDED_WINDOW}
-	 * offsets. This is how an operator whose append had no answer learns the outcome.
+	 * Returns the decision on a change within the last {@link #DECIDED_WINDOW} offsets.
+	 * An operator whose append was not answered obtains the outcome this way.
 	 * @param recordId the identifier of the change's record
 	 * @return the decision, or {@code null} if the stream has no such record
 	 */
@@ -102,7 +103,7 @@
 	/**
 	 * Returns a published profile.
 	 * @param name the name
-	 * @return the profile, or {@code null} if none is published under the name
+	 * @return the profile, or {@code null} if it is not published
 	 */
 	public @Nullable PublishedProfile profile(ProfileName name) {
 		return this.profiles.get(name);
@@ -111,7 +112,7 @@
 	/**
 	 * Returns a published service.
 	 * @param name the name
-	 * @return the service, or {@code null} if none is published under the name
+	 * @return the service, or {@code null} if it is not published
 	 */
 	public @Nullable PublishedService service(ServiceName name) {
 		return this.services.get(name);
@@ -135,8 +136,8 @@
 
 	/**
 	 * Returns the terms for a new request.
-	 * @param name the service that the request addresses
-	 * @return the terms, which the request keeps
+	 * @param name the requested service
+	 * @return the terms, which apply for the duration of the request
 	 * @throws BanyancoveException of kind {@link ErrorKind#SERVICE_UNKNOWN} or
 	 * {@link ErrorKind#SERVICE_RETIRED}
 	 */
@@ -155,7 +156,7 @@
 
 	/**
 	 * Returns the state for a peer or a checkpoint.
-	 * @return the state, equal at every reader that has come to the same offset
+	 * @return the state, which is equal at all readers at the same offset
 	 */
 	public ProfileTableState exportState() {
 		return new ProfileTableState(this.throughOffset, new ArrayList<>(this.profiles.values()),
@@ -163,11 +164,11 @@
 	}
 
 	/**
-	 * Takes the state of a peer or a checkpoint over, if it is newer.
+	 * Replaces the state with that of a peer or a checkpoint if it is newer.
 	 * @param state the state
-	 * @return whether the table moved; an older or equal state changes nothing
+	 * @return whether the state was replaced; an older or equal state is ignored
 	 * @throws org.banyancove.core.InvariantViolationException if the newer state would
-	 * take an object back to an earlier revision
+	 * revert an object to an earlier revision
 	 */
 	public boolean importState(ProfileTableState state) {
 		if (state.throughOffset() <= this.throughOffset) {
@@ -177,38 +178,38 @@
 		state.profiles().forEach((published) -> newProfiles.put(published.profile().name(), published));
 		Map<ServiceName, PublishedService> newServices = new TreeMap<>();
 		state.services().forEach((published) -> newServices.put(published.service().name(), published));
-		checkNothingReverts(newProfiles, newServices);
+		checkRevisionsNotReverted(newProfiles, newServices);
 		this.profiles.clear();
 		this.profiles.putAll(newProfiles);
 		this.services.clear();
 		this.services.putAll(newServices);
 		this.decided.clear();
 		this.decidedByOffset.clear();
-		state.decided().forEach(this::remember);
+		state.decided().forEach(this::recordDecision);
 		this.lastCheckpoint = state.lastCheckpoint();
 		this.throughOffset = state.throughOffset();
 		return true;
 	}
 
-	private ProfileOutcome mark(ProfileEntry entry) {
+	private ProfileOutcome recordCheckpoint(ProfileEntry entry) {
 		this.lastCheckpoint = new CheckpointMark(entry.offset(), entry.appendedAt());
-		return new ProfileOutcome.Passed(entry.offset());
+		return new ProfileOutcome.Ignored(entry.offset());
 	}
 
 	private ProfileOutcome decide(long offset, ProfileRecord.Change change) {
 		DecidedChange first = this.decided.get(change.recordId());
 		if (first != null) {
-			return new ProfileOutcome.Repeated(offset, first);
+			return new ProfileOutcome.Duplicate(offset, first);
 		}
 		long current = revisionOf(change);
-		RejectionReason reason = reasonAgainst(change, current);
-		remember(new DecidedChange(offset, change.recordId(), reason == null));
+		RejectionReason reason = findRejectionReason(change, current);
+		recordDecision(new DecidedChange(offset, change.recordId(), reason == null));
 		if (reason != null) {
 			return new ProfileOutcome.Rejected(offset, change, reason, current);
 		}
-		Invariant.check(offset > current, "an accepted change raises the revision: %s after %s by %s", offset, current,
-				change);
-		enforce(offset, change);
+		Invariant.check(offset > current, "an accepted change must increase the revision: %s after %s by %s", offset,
+				current, change);
+		applyChange(offset, change);
 		return new ProfileOutcome.Accepted(offset, change);
 	}
 
@@ -230,7 +231,7 @@
 		return (published != null) ? published.revision() : NO_REVISION;
 	}
 
-	private @Nullable RejectionReason reasonAgainst(ProfileRecord.Change change, long current) {
+	private @Nullable RejectionReason findRejectionReason(ProfileRecord.Change change, long current) {
 		if (change instanceof ProfileRecord.ServiceRetired && current == NO_REVISION) {
 			return RejectionReason.SERVICE_UNKNOWN;
 		}
@@ -244,7 +245,7 @@
 		return null;
 	}
 
-	private void enforce(long offset, ProfileRecord.Change change) {
+	private void applyChange(long offset, ProfileRecord.Change change) {
 		switch (change) {
 			case ProfileRecord.ProfileChanged changed ->
 				this.profiles.put(changed.profile().name(), new PublishedProfile(offset, changed.profile()));
@@ -255,12 +256,12 @@
 		}
 	}
 
-	private void remember(DecidedChange change) {
+	private void recordDecision(DecidedChange change) {
 		this.decided.put(change.recordId(), change);
 		this.decidedByOffset.addLast(change);
 	}
 
-	private void forgetBefore(long offset) {
+	private void removeDecisionsBefore(long offset) {
 		DecidedChange oldest = this.decidedByOffset.peekFirst();
 		while (oldest != null && oldest.offset() < offset) {
 			this.decidedByOffset.removeFirst();
@@ -269,20 +270,20 @@
 		}
 	}
 
-	private void checkNothingReverts(Map<ProfileName, PublishedProfile> newProfiles,
+	private void checkRevisionsNotReverted(Map<ProfileName, PublishedProfile> newProfiles,
 			Map<ServiceName, PublishedService> newServices) {
-		this.profiles.forEach((name, present) -> {
+		this.profiles.forEach((name, current) -> {
 			PublishedProfile next = newProfiles.get(name);
-			Invariant.check(next != null && next.revision() >= present.revision(),
-					"an accepted profile never reverts: %s after %s", String.valueOf(next), present);
+			Invariant.check(next != null && next.revision() >= current.revision(),
+					"an accepted profile never reverts: %s after %s", String.valueOf(next), current);
 		});
-		this.services.forEach((name, present) -> {
+		this.services.forEach((name, current) -> {
 			PublishedService next = newServices.get(name);
-			Invariant.check(next != null && next.revision() >= present.revision(),
-					"an accepted service never reverts: %s after %s", String.valueOf(next), present);
+			Invariant.check(next != null && next.revision() >= current.revision(),
+					"an accepted service never reverts: %s after %s", String.valueOf(next), current);
 		});
 		newServices.forEach((name, next) -> Invariant.check(newProfiles.containsKey(next.service().profile()),
-				"a service runs under a published profile: %s", next));
+				"a service must reference a published profile: %s", next));
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileView.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileView.java
@@ -7,22 +7,23 @@
 import java.util.List;
 
 /**
- * One process's reading of the profiles stream: keeps the {@link ProfileTable} complete.
+ * One process's view of the profiles stream, which keeps its {@link ProfileTable}
+ * complete.
  * <p>
  * A view is complete if it starts at offset 0, at a checkpoint or at a peer's state.
- * Retention can trim records that a slow or fresh process has not read. The view then has
- * a gap: it goes on serving what was in force when it last was complete, keeps what it
- * reads behind the gap apart, and closes the gap from a checkpoint in the stream or from
- * a peer's state. Without this rule it would accept changes against revisions that others
- * know to be old.
+ * Retention can remove records that a slow or new process has not read. The view then has
+ * a gap: it continues to serve the state in which it was last complete, buffers the
+ * records after the gap, and closes the gap with a checkpoint in the stream or with a
+ * peer's state. Otherwise it would accept changes based on revisions that are outdated
+ * for other readers.
  * <p>
  * Used by one thread, the entry's tick loop.
  */
 public final class ProfileView {
 
 	/**
-	 * The most records kept behind a gap. Older ones are let go first: a checkpoint
-	 * stands for an offset shortly before its own.
+	 * The maximum number of records buffered after a gap. The oldest are discarded first,
+	 * since a checkpoint contains the state at an offset shortly before its own.
 	 */
 	static final int MAXIMUM_PENDING = 16_384;
 
@@ -37,7 +38,7 @@
 	private boolean started;
 
 	/**
-	 * Returns the table, to look profiles up in. Only this view applies records to it.
+	 * Returns the table for lookups. Only this view applies records to it.
 	 * @return the table
 	 */
 	public ProfileTable table() {
@@ -46,7 +47,7 @@
 
 	/**
 	 * Returns whether the view has been complete at some offset, so that requests can be
-	 * accepted and peers be given its state.
+	 * accepted and its state can be exported to peers.
 	 * @return whether the view can be used
 	 */
 	public boolean isStarted() {
@@ -54,7 +55,7 @@
 	}
 
 	/**
-	 * Returns whether records are missing, so that a peer should be asked for its state.
+	 * Returns whether records are missing, so that a peer's state should be requested.
 	 * @return whether there is a gap
 	 */
 	public boolean hasGap() {
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * Returns the offset to read from next.
+	 * Returns the offset of the next record to read.
 	 * @return the offset
 	 */
 	public long nextOffset() {
@@ -70,10 +71,10 @@
 	}
 
 	/**
-	 * Reads a page. Entries that were read before are passed over, so pages may come from
+	 * Applies a page. Entries that were read before are ignored, so pages may arrive from
 	 * the log and from peers in any order.
 	 * @param page the page
-	 * @return what became of the records that the table came past, in order
+	 * @return the outcomes of the applied records, in order
 	 */
 	public List<ProfileOutcome> read(ProfilePage page) {
 		if (page.firstRetained() > nextOffset()) {
@@ -92,9 +93,9 @@
 	}
 
 	/**
-	 * Takes a peer's state over where it is newer than this view's own.
-	 * @param state the state, which the peer exported from a view that was started
-	 * @return what became of the records behind the state that were read before
+	 * Imports a peer's state if it is newer than this view's own.
+	 * @param state the state, which the peer exported from a started view
+	 * @return the outcomes of the buffered records after the state
 	 */
 	public List<ProfileOutcome> importState(ProfileTableState state) {
 		List<ProfileOutcome> outcomes = new ArrayList<>();
@@ -109,8 +110,8 @@
 			outcomes.add(this.table.apply(entry));
 			return;
 		}
-		keep(entry);
-		if (entry.record() instanceof ProfileRecord.ProfilesCheckpoint checkpoint && reaches(checkpoint)) {
+		addPending(entry);
+		if (entry.record() instanceof ProfileRecord.ProfilesCheckpoint checkpoint && closesGap(checkpoint)) {
 			this.table.importState(checkpoint.state());
 			closeGap(outcomes);
 		}
@@ -122,7 +123,7 @@
 		this.pendingNextOffset = firstRetained;
 	}
 
-	private void keep(ProfileEntry entry) {
+	private void addPending(ProfileEntry entry) {
 		this.pending.addLast(entry);
 		this.pendingNextOffset = entry.offset() + 1;
 		if (this.pending.size() > MAXIMUM_PENDING) {
@@ -130,7 +131,7 @@
 		}
 	}
 
-	private boolean reaches(ProfileRecord.ProfilesCheckpoint checkpoint) {
+	private boolean closesGap(ProfileRecord.ProfilesCheckpoint checkpoint) {
 		return checkpoint.throughOffset() + 1 >= firstPendingOffset();
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/PublishedProfile.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/PublishedProfile.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.profile;
 
 /**
- * A profile that is in force.
+ * A published profile with its revision.
  *
  * @param revision the offset of its last accepted change
  * @param profile the profile
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/PublishedService.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/PublishedService.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.profile;
 
 /**
- * A service that is in force.
+ * A published service with its revision.
  *
  * @param revision the offset of its last accepted change
  * @param service the service
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/RejectionReason.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/RejectionReason.java
@@ -1,14 +1,14 @@
 package org.banyancove.core.profile;
 
 /**
- * Why a change was rejected.
+ * The reason for the rejection of a change.
  */
 public enum RejectionReason {
 
-	/** The object has another revision than the one the change was made from. */
+	/** The object no longer has the revision on which the change is based. */
 	REVISION_MOVED,
 
-	/** The service names a profile that is not published. */
+	/** The service references a profile that is not published. */
 	PROFILE_UNKNOWN,
 
 	/** The service to retire is not published. */
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/RequestTerms.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/RequestTerms.java
@@ -1,8 +1,8 @@
 package org.banyancove.core.profile;
 
 /**
- * The service and profile under which a request was accepted. A request keeps them until
- * its end, whatever operators publish meanwhile.
+ * The service and profile under which a request was accepted. They apply for the duration
+ * of the request, also if operators publish changes.
  *
  * @param serviceRevision the service's revision at acceptance
  * @param service the service
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ServiceDefinition.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ServiceDefinition.java
@@ -6,12 +6,12 @@
 import org.banyancove.core.ServiceName;
 
 /**
- * A service and the profile it runs under.
+ * A service with its profile.
  *
  * @param name the name by which callers address the service
- * @param kind what stands behind it
- * @param profile the profile it runs under
- * @param state whether it takes new work
+ * @param kind the kind of its endpoints
+ * @param profile the profile that applies to it
+ * @param state whether it accepts new requests
  * @param repeatableMethods the HTTP methods of a plain service whose calls may be
  * repeated, in upper case; all others run at most once
  * @param checksFence whether the service's endpoints refuse orders with an old fencing
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * Returns whether a call with the given method may be sent again.
+	 * Returns whether a call with the given method may be repeated.
 	 * @param method the HTTP method, in upper case
 	 * @return whether the call may be repeated
 	 */
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Returns this service as retired.
+	 * Returns this service in the state {@link ServiceState#RETIRED}.
 	 * @return the retired service
 	 */
 	public ServiceDefinition retired() {
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ServiceKind.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ServiceKind.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.profile;
 
 /**
- * What stands behind a service.
+ * The kind of endpoints of a service.
  */
 public enum ServiceKind {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ServiceState.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ServiceState.java
@@ -1,14 +1,14 @@
 package org.banyancove.core.profile;
 
 /**
- * Whether a service takes new work.
+ * Whether a service accepts new requests.
  */
 public enum ServiceState {
 
-	/** The service takes new work. */
+	/** The service accepts new requests. */
 	ACTIVE,
 
-	/** The service refuses new work and finishes what was accepted. */
+	/** The service refuses new requests and completes accepted ones. */
 	RETIRED
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Profiles and services as operators publish them on the platform's log.
+ * Profiles and services that operators publish on the platform's log.
  */
 @NullMarked
 package org.banyancove.core.profile;
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/FakeProfileLog.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/FakeProfileLog.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A profiles stream with retention, in memory.
+ * An in-memory profiles stream with retention.
  */
 final class FakeProfileLog {
 
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileFoldMeasurement.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileFoldMeasurement.java
@@ -8,8 +8,9 @@
 import com.sun.management.ThreadMXBean;
 
 /**
- * Measures the fold at several sizes: time and allocation for each change, and bytes kept
- * for each profile. A program and not a test, since its figures depend on the machine.
+ * Measures the replay of the stream at several sizes: time and allocation per change, and
+ * bytes retained per profile. A program rather than a test, since its figures depend on
+ * the machine.
  */
 public final class ProfileFoldMeasurement {
 
@@ -17,7 +18,7 @@
 
 	private static final int[] SIZES = { 10, 100, 1_000, 10_000 };
 
-	private static final int[] KEPT_SIZES = { 10_000, 50_000, 100_000 };
+	private static final int[] RETAINED_SIZES = { 10_000, 50_000, 100_000 };
 
 	private ProfileFoldMeasurement() {
 	}
@@ -28,11 +29,11 @@
 	 */
 	public static void main(String[] arguments) {
 		System.out.println("profiles kept-bytes-per-profile");
-		for (int size : KEPT_SIZES) {
-			System.out.printf("%d %d%n", size, kept(size));
+		for (int size : RETAINED_SIZES) {
+			System.out.printf("%d %d%n", size, retainedBytes(size));
 		}
 		for (int size : SIZES) {
-			fold(size, entries(size));
+			replay(size, entries(size));
 		}
 		System.out.println("profiles ns-per-change allocated-bytes-per-change state-export-us");
 		for (int size : SIZES) {
@@ -45,7 +46,7 @@
 		ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 		long allocated = threads.getCurrentThreadAllocatedBytes();
 		long started = System.nanoTime();
-		ProfileTable table = fold(size, entries);
+		ProfileTable table = replay(size, entries);
 		long nanos = System.nanoTime() - started;
 		allocated = threads.getCurrentThreadAllocatedBytes() - allocated;
 		long exportStarted = System.nanoTime();
@@ -68,7 +69,7 @@
 		return entries;
 	}
 
-	private static ProfileTable fold(int size, List<ProfileEntry> entries) {
+	private static ProfileTable replay(int size, List<ProfileEntry> entries) {
 		ProfileTable table = new ProfileTable();
 		entries.forEach(table::apply);
 		if (table.profiles().size() != size) {
@@ -77,30 +78,30 @@
 		return table;
 	}
 
-	private static long kept(int size) {
-		long before = used();
+	private static long retainedBytes(int size) {
+		long before = usedBytes();
 		ProfileTable table = new ProfileTable();
 		for (int i = 0; i < size; i++) {
 			table.apply(new ProfileEntry(i, Instant.EPOCH,
 					Samples.change("record-" + i, ProfileTable.NO_REVISION, "profile-" + i, 1)));
 		}
-		long bytes = used() - before;
+		long bytes = usedBytes() - before;
 		return bytes / table.profiles().size();
 	}
 
 	/**
-	 * Returns the bytes in use. The collector moves everything only at every fourth full
-	 * collection and leaves some garbage in place at the others, hence the least of
-	 * eight.
+	 * Returns the bytes in use. The collector compacts the complete heap only at every
+	 * fourth full collection and leaves some garbage in place at the others, hence the
+	 * minimum of eight collections.
 	 * @return the bytes
 	 */
-	private static long used() {
-		long least = Long.MAX_VALUE;
+	private static long usedBytes() {
+		long minimum = Long.MAX_VALUE;
 		for (int i = 0; i < 8; i++) {
 			System.gc();
-			least = Math.min(least, Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
+			minimum = Math.min(minimum, Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
 		}
-		return least;
+		return minimum;
 	}
 
 }
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileRun.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileRun.java
@@ -17,15 +17,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A long randomised run of operators and readers over one profiles stream.
+ * A long randomised simulation of operators and readers of one profiles stream.
  * <p>
- * Operators race from views of different age, lose answers whose append took effect or
- * did not, and repeat under the same record identifier; appends take effect late. Readers
- * lag, are cut off, are replaced and start from the log or from a peer; checkpoints are
- * written and retention trims, at times everything. What is kept is what the system says
- * it needs: a checkpoint in the log, or one process that is up to the first record the
- * log still keeps. The stated outcome comes from {@link Oracle}, which is written without
- * the fold under test.
+ * Operators make concurrent changes based on outdated views, lose answers to appends that
+ * were or were not applied, and retry with the same record identifier; appends are
+ * applied late. Readers lag, are disconnected, are replaced and start from the log or
+ * from a peer; checkpoints are written and retention removes records, in some cases all
+ * of them. The simulation preserves only what the system requires: a checkpoint in the
+ * log, or one process that has read up to the first retained record. The expected outcome
+ * is computed by {@link Oracle}, independently of the code under test.
  */
 final class ProfileRun {
 
@@ -33,7 +33,7 @@
 
 	private static final int NAMES = 4;
 
-	private static final int LATEST_APPEND = ProfileTable.DECIDED_WINDOW / 2;
+	private static final int MAXIMUM_APPEND_LAG = ProfileTable.DECIDED_WINDOW / 2;
 
 	private final Random random;
 
@@ -64,27 +64,27 @@
 		for (int i = 0; i < steps; i++) {
 			step();
 		}
-		healAndCompare();
+		recoverAndCompare();
 		return this.counts;
 	}
 
 	private void step() {
 		int choice = this.random.nextInt(100);
 		if (choice < 30) {
-			operatorChanges();
+			appendRandomChange();
 		}
 		else if (choice < 36) {
-			operatorRepeats();
+			retryUnansweredAppend();
 		}
 		else if (choice < 38) {
 			append(null);
 			count(Event.UNKNOWN_KIND);
 		}
 		else if (choice < 85) {
-			readerReads(randomReader());
+			readPage(randomReader());
 		}
 		else if (choice < 90) {
-			takeStateOfPeer(randomReader());
+			importPeerState(randomReader());
 		}
 		else if (choice < 94) {
 			replaceReader();
@@ -97,14 +97,14 @@
 		}
 	}
 
-	private void operatorChanges() {
+	private void appendRandomChange() {
 		ProfileView view = randomReader();
 		ProfileRecord.Change change = randomChange(view.table());
-		int fate = this.random.nextInt(10);
-		if (fate < 6) {
+		int appendOutcome = this.random.nextInt(10);
+		if (appendOutcome < 6) {
 			append(change);
 		}
-		else if (fate < 8) {
+		else if (appendOutcome < 8) {
 			append(change);
 			this.unanswered.add(new Unanswered(this.log.endOffset(), change));
 			count(Event.ANSWER_LOST);
@@ -115,11 +115,11 @@
 		}
 	}
 
-	private void operatorRepeats() {
-		this.unanswered.removeIf((pending) -> pending.madeAt() < this.log.endOffset() - LATEST_APPEND);
+	private void retryUnansweredAppend() {
+		this.unanswered.removeIf((pending) -> pending.madeAt() < this.log.endOffset() - MAXIMUM_APPEND_LAG);
 		if (!this.unanswered.isEmpty()) {
 			append(this.unanswered.remove(this.random.nextInt(this.unanswered.size())).change());
-			count(Event.APPEND_REPEATED);
+			count(Event.APPEND_RETRIED);
 		}
 	}
 
@@ -145,7 +145,7 @@
 		count(this.oracle.append(offset, record));
 	}
 
-	private void readerReads(ProfileView reader) {
+	private void readPage(ProfileView reader) {
 		boolean hadGap = reader.hasGap();
 		List<ProfileOutcome> outcomes = reader.read(this.log.read(reader.nextOffset(), 1 + this.random.nextInt(30)));
 		outcomes.forEach(this.oracle::check);
@@ -158,24 +158,24 @@
 		this.oracle.check(reader);
 	}
 
-	private void takeStateOfPeer(ProfileView reader) {
+	private void importPeerState(ProfileView reader) {
 		ProfileView peer = randomReader();
 		if (peer.isStarted()) {
 			reader.importState(peer.table().exportState()).forEach(this.oracle::check);
-			count(Event.STATE_OF_PEER);
+			count(Event.PEER_STATE_IMPORTED);
 			this.oracle.check(reader);
 		}
 	}
 
 	private void replaceReader() {
 		int index = this.random.nextInt(READERS);
-		if (isWholeInLog() || anyWholeBut(index)) {
+		if (isLogComplete() || hasCompleteReaderExcept(index)) {
 			this.readers.set(index, new ProfileView());
 			count(Event.READER_REPLACED);
 		}
 	}
 
-	private boolean anyWholeBut(int index) {
+	private boolean hasCompleteReaderExcept(int index) {
 		for (int i = 0; i < READERS; i++) {
 			ProfileView reader = this.readers.get(i);
 			if (i != index && reader.isStarted() && reader.table().nextOffset() >= this.log.firstRetained()) {
@@ -185,7 +185,7 @@
 		return false;
 	}
 
-	private boolean isWholeInLog() {
+	private boolean isLogComplete() {
 		long first = this.log.firstRetained();
 		return first == 0 || (this.checkpointOffset >= first && this.checkpointThrough + 1 >= first);
 	}
@@ -203,10 +203,10 @@
 	}
 
 	private void trim() {
-		long kept = this.log.endOffset();
-		if (this.random.nextInt(3) == 0 && this.readers.stream().anyMatch((reader) -> isAt(reader, kept))) {
-			this.log.trimTo(kept);
-			count(Event.TRIMMED_TO_THE_END);
+		long endOffset = this.log.endOffset();
+		if (this.random.nextInt(3) == 0 && this.readers.stream().anyMatch((reader) -> isAt(reader, endOffset))) {
+			this.log.trimTo(endOffset);
+			count(Event.TRIMMED_TO_END);
 		}
 		else if (this.checkpointOffset >= 0) {
 			this.log.trimTo(this.checkpointThrough + 1);
@@ -218,7 +218,7 @@
 		return reader.isStarted() && reader.table().nextOffset() == offset;
 	}
 
-	private void healAndCompare() {
+	private void recoverAndCompare() {
 		for (ProfileView reader : this.readers) {
 			readToEnd(reader);
 		}
@@ -231,7 +231,7 @@
 			readToEnd(reader);
 			assertThat(reader.hasGap()).isFalse();
 			assertThat(reader.nextOffset()).isEqualTo(this.log.endOffset());
-			count(Event.READER_WHOLE_AT_END);
+			count(Event.READER_COMPLETE_AT_END);
 		}
 		for (ProfileView reader : this.readers) {
 			assertThat(reader.table().exportState()).isEqualTo(this.readers.getFirst().table().exportState());
@@ -243,7 +243,7 @@
 			long before = reader.nextOffset();
 			reader.read(this.log.read(before, 1000)).forEach(this.oracle::check);
 			this.oracle.check(reader);
-			assertThat(reader.nextOffset() > before || before == this.log.endOffset()).as("reads on").isTrue();
+			assertThat(reader.nextOffset() > before || before == this.log.endOffset()).as("reader advances").isTrue();
 		}
 		while (reader.nextOffset() < this.log.endOffset());
 	}
@@ -257,9 +257,9 @@
 	}
 
 	/**
-	 * A change whose operator has no answer.
+	 * A change whose append was not answered.
 	 *
-	 * @param madeAt the stream's end when it was made
+	 * @param madeAt the stream's end when the change was made
 	 * @param change the change
 	 */
 	private record Unanswered(long madeAt, ProfileRecord.Change change) {
@@ -267,18 +267,19 @@
 	}
 
 	/**
-	 * What happens in a run.
+	 * The events of a simulation.
 	 */
 	enum Event {
 
-		ACCEPTED, REJECTED, COPY, PASSED, ANSWER_LOST, APPEND_LATE, APPEND_REPEATED, UNKNOWN_KIND, GAP_OPENED,
-		GAP_CLOSED_BY_CHECKPOINT, STATE_OF_PEER, READER_REPLACED, CHECKPOINT, TRIMMED_TO_CHECKPOINT, TRIMMED_TO_THE_END,
-		READER_WHOLE_AT_END
+		ACCEPTED, REJECTED, DUPLICATE, IGNORED, ANSWER_LOST, APPEND_LATE, APPEND_RETRIED, UNKNOWN_KIND, GAP_OPENED,
+		GAP_CLOSED_BY_CHECKPOINT, PEER_STATE_IMPORTED, READER_REPLACED, CHECKPOINT, TRIMMED_TO_CHECKPOINT,
+		TRIMMED_TO_END, READER_COMPLETE_AT_END
 
 	}
 
 	/**
-	 * The stated outcome of every record, from plain maps that see the whole stream.
+	 * Computes the expected outcome of every record with plain maps over the complete
+	 * stream.
 	 */
 	private static final class Oracle {
 
@@ -290,10 +291,10 @@
 
 		private final Map<String, Object> values = new HashMap<>();
 
-		private final Set<String> seen = new HashSet<>();
+		private final Set<String> recordIds = new HashSet<>();
 
 		Event append(long offset, @Nullable ProfileRecord record) {
-			Event event = Event.PASSED;
+			Event event = Event.IGNORED;
 			if (record instanceof ProfileRecord.Change change) {
 				event = decide(offset, change);
 			}
@@ -303,11 +304,11 @@
 		}
 
 		private Event decide(long offset, ProfileRecord.Change change) {
-			if (!this.seen.add(change.recordId())) {
-				return Event.COPY;
+			if (!this.recordIds.add(change.recordId())) {
+				return Event.DUPLICATE;
 			}
 			String key = key(change);
-			if (this.revisions.getOrDefault(key, -1L) != change.expectedRevision() || lacksName(change)) {
+			if (this.revisions.getOrDefault(key, -1L) != change.expectedRevision() || referencesUnknownName(change)) {
 				return Event.REJECTED;
 			}
 			this.revisions.put(key, offset);
@@ -323,7 +324,7 @@
 			};
 		}
 
-		private boolean lacksName(ProfileRecord.Change change) {
+		private boolean referencesUnknownName(ProfileRecord.Change change) {
 			return switch (change) {
 				case ProfileRecord.ProfileChanged changed -> false;
 				case ProfileRecord.ServiceChanged changed ->
@@ -347,8 +348,8 @@
 			Event event = switch (outcome) {
 				case ProfileOutcome.Accepted accepted -> Event.ACCEPTED;
 				case ProfileOutcome.Rejected rejected -> Event.REJECTED;
-				case ProfileOutcome.Repeated repeated -> Event.COPY;
-				case ProfileOutcome.Passed passed -> Event.PASSED;
+				case ProfileOutcome.Duplicate duplicate -> Event.DUPLICATE;
+				case ProfileOutcome.Ignored ignored -> Event.IGNORED;
 			};
 			assertThat(event).as("outcome at offset %s", outcome.offset())
 				.isEqualTo(this.outcomes.get((int) outcome.offset()));
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileRunTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileRunTests.java
@@ -15,14 +15,14 @@
 
 	private static final int STEPS = Integer.getInteger("profile.run.steps", 1500);
 
-	// Operators race each other and lose answers while readers in several data centers
-	// are cut off, lag, are replaced and meet a stream that retention has trimmed.
-	// Every reader must come to the stated outcome of every record and hold the stated
-	// profiles at whatever offset it has reached; at the end all that could heal are
-	// equal. The seed and length can be given: -Dprofile.run.seed, -Dprofile.run.runs,
-	// -Dprofile.run.steps.
+	// Operators make concurrent changes and lose answers while readers in several data
+	// centers are disconnected, lag, are replaced and read a stream from which
+	// retention has removed records. Every reader must compute the expected outcome of
+	// every record and hold the expected profiles at its offset; at the end all
+	// readers that could recover are equal. Seed and length are set with
+	// -Dprofile.run.seed, -Dprofile.run.runs and -Dprofile.run.steps.
 	@Test
-	void allReadersComeToTheStatedOutcomes() {
+	void allReadersComputeExpectedOutcomes() {
 		Map<ProfileRun.Event, Integer> total = new EnumMap<>(ProfileRun.Event.class);
 		for (int run = 0; run < RUNS; run++) {
 			new ProfileRun(SEED + run).run(STEPS).forEach((event, count) -> total.merge(event, count, Integer::sum));
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileTableTests.java
@@ -25,11 +25,11 @@
 
 	private final ProfileTable table = new ProfileTable();
 
-	// Two operators change the same profile from the same revision. Both appends stand in
-	// the stream. The second operator must learn that its change had no effect, or it
-	// would go home believing that its deadline is in force.
+	// Two operators change the same profile based on the same revision. Both records are
+	// in the stream. The second change must be rejected, since its operator would
+	// otherwise assume that it is effective.
 	@Test
-	void theFirstOfTwoRacingChangesWins() {
+	void firstOfTwoConcurrentChangesIsAccepted() {
 		apply(Samples.change("create", -1, "dawn", 0));
 		assertThat(apply(Samples.change("first", 0, "dawn", 1))).isInstanceOf(ProfileOutcome.Accepted.class);
 		assertThat(apply(Samples.change("second", 0, "dawn", 2))).isInstanceOfSatisfying(ProfileOutcome.Rejected.class,
@@ -41,36 +41,37 @@
 			.isEqualTo(new PublishedProfile(1, Samples.profile("dawn", 1)));
 	}
 
-	// The answer to a publish is lost after it took effect, and a copy of it arrives
-	// after another operator's change. The copy must not put the old profile back in
-	// force.
+	// The answer to an accepted append is lost, and a duplicate of the record
+	// arrives after another operator's change. The duplicate must not restore the
+	// old profile.
 	@Test
-	void aLateCopyOfAnAcceptedChangeDoesNotRevert() {
+	void lateDuplicateOfAcceptedChangeDoesNotRevert() {
 		apply(Samples.change("create", -1, "dawn", 0));
 		apply(Samples.change("next", 0, "dawn", 1));
 		assertThat(apply(Samples.change("create", -1, "dawn", 0)))
-			.isEqualTo(new ProfileOutcome.Repeated(2, new DecidedChange(0, "create", true)));
+			.isEqualTo(new ProfileOutcome.Duplicate(2, new DecidedChange(0, "create", true)));
 		assertThat(this.table.profile(new ProfileName("dawn"))).extracting(PublishedProfile::revision).isEqualTo(1L);
 	}
 
-	// A service is rejected because its profile is not published yet; its operator reads
-	// "rejected". Later the profile appears and a copy of the rejected record arrives. It
-	// must stay rejected, since the operator may have done something else meanwhile.
+	// A service is rejected because its profile is not published yet, and its operator
+	// reads this outcome. The profile is published and a duplicate of the rejected
+	// record arrives. It must stay rejected, since the operator may have made another
+	// change in the meantime.
 	@Test
-	void aCopyOfARejectedChangeStaysRejected() {
+	void duplicateOfRejectedChangeStaysRejected() {
 		ProfileRecord.ServiceChanged change = new ProfileRecord.ServiceChanged("s", -1,
 				Samples.service("feed", "dawn", false));
 		assertThat(apply(change)).isInstanceOfSatisfying(ProfileOutcome.Rejected.class,
 				(rejected) -> assertThat(rejected.reason()).isEqualTo(RejectionReason.PROFILE_UNKNOWN));
 		apply(Samples.change("create", -1, "dawn", 0));
-		assertThat(apply(change)).isInstanceOf(ProfileOutcome.Repeated.class);
+		assertThat(apply(change)).isInstanceOf(ProfileOutcome.Duplicate.class);
 		assertThat(this.table.service(FEED)).isNull();
 	}
 
-	// A service is retired while a request runs under it. The request keeps its terms to
-	// its end, and only new requests are refused.
+	// A service is retired while one of its requests is running. The request keeps its
+	// terms until its end, and only new requests are refused.
 	@Test
-	void retiringRefusesNewWorkAndLeavesAcceptedTerms() {
+	void retirementRefusesNewRequestsAndKeepsAcceptedTerms() {
 		apply(Samples.change("create", -1, "dawn", 3));
 		apply(new ProfileRecord.ServiceChanged("s", -1, Samples.service("feed", "dawn", false)));
 		RequestTerms terms = this.table.terms(FEED);
@@ -85,21 +86,21 @@
 	}
 
 	@Test
-	void retiringAnUnknownServiceIsRejected() {
+	void retirementOfUnknownServiceIsRejected() {
 		assertThat(apply(new ProfileRecord.ServiceRetired("r", -1, FEED))).isInstanceOfSatisfying(
 				ProfileOutcome.Rejected.class,
 				(rejected) -> assertThat(rejected.reason()).isEqualTo(RejectionReason.SERVICE_UNKNOWN));
 	}
 
 	@Test
-	void recordsOutOfOrderBreakTheInvariant() {
+	void recordsOutOfOrderViolateInvariant() {
 		apply(null);
 		assertThatExceptionOfType(InvariantViolationException.class).isThrownBy(() -> this.table.apply(entry(0, null)));
 		assertThatExceptionOfType(InvariantViolationException.class).isThrownBy(() -> this.table.apply(entry(2, null)));
 	}
 
 	@Test
-	void anOlderStateIsLeftAndARevertingOneBreaksTheInvariant() {
+	void olderStateIsIgnoredAndRevertingStateViolatesInvariant() {
 		ProfileTableState empty = this.table.exportState();
 		apply(Samples.change("create", -1, "dawn", 0));
 		assertThat(this.table.importState(empty)).isFalse();
@@ -110,22 +111,22 @@
 	}
 
 	@Property(tries = 300, seed = "7")
-	void pagesInAnyCutAndOverlapGiveTheSameState(
+	void pagesOfAnySizeAndOverlapProduceSameState(
 			@ForAll @Size(max = 40) List<@IntRange(min = -3, max = 8) Integer> expectations,
 			@ForAll @IntRange(min = 1, max = 9) int pageSize, @ForAll @IntRange(max = 8) int overlap) {
 		FakeProfileLog log = new FakeProfileLog();
-		List<ProfileOutcome> whole = new ArrayList<>();
+		List<ProfileOutcome> expectedOutcomes = new ArrayList<>();
 		for (int expected : expectations) {
 			log.append((expected < -1) ? null : Samples.change("r" + expected, expected, "p" + expected % 2, 1));
 		}
 		ProfileView atOnce = new ProfileView();
-		whole.addAll(atOnce.read(log.read(0, 100)));
+		expectedOutcomes.addAll(atOnce.read(log.read(0, 100)));
 		ProfileView inPages = new ProfileView();
-		List<ProfileOutcome> parts = new ArrayList<>();
+		List<ProfileOutcome> outcomes = new ArrayList<>();
 		while (inPages.nextOffset() < log.endOffset()) {
-			parts.addAll(inPages.read(log.read(Math.max(0, inPages.nextOffset() - overlap), pageSize + overlap)));
+			outcomes.addAll(inPages.read(log.read(Math.max(0, inPages.nextOffset() - overlap), pageSize + overlap)));
 		}
-		assertThat(parts).isEqualTo(whole);
+		assertThat(outcomes).isEqualTo(expectedOutcomes);
 		assertThat(inPages.table().exportState()).isEqualTo(atOnce.table().exportState());
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileViewTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileViewTests.java
@@ -16,18 +16,19 @@
 	private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
 	@Test
-	void aViewThatHasReadNothingIsNotStarted() {
+	void viewThatHasReadNothingIsNotStarted() {
 		ProfileView view = new ProfileView();
 		assertThat(view.isStarted()).isFalse();
 		view.read(this.log.read(0, 10));
 		assertThat(view.isStarted()).isTrue();
 	}
 
-	// An entry is cut off from the platform while retention passes. Once healed, the log
-	// begins behind what it has read. It must go on serving the profiles it knows, must
-	// not fold the rest over the hole, and is whole again with a checkpoint.
+	// An entry is disconnected from the platform for longer than the retention.
+	// When it is connected again, the log begins after the last record it has read.
+	// It must continue to serve its profiles, must not apply the records after the
+	// gap, and is complete again after a checkpoint.
 	@Test
-	void aGapIsClosedByACheckpointAndTheRecordsAroundIt() {
+	void gapIsClosedByCheckpointAndAdjacentRecords() {
 		ProfileView writer = new ProfileView();
 		ProfileView slow = new ProfileView();
 		this.log.append(Samples.change("a", -1, "dawn", 0));
@@ -46,30 +47,30 @@
 		assertThat(priority(slow)).isEqualTo(2);
 	}
 
-	// All old records are gone and no checkpoint stands in the log: a fresh process must
-	// say that it knows nothing, instead of saying that nothing is published; a peer's
-	// state makes it whole, and what it had read meanwhile is not lost.
+	// All old records were removed and the log contains no checkpoint: a new process must
+	// not report that nothing is published but that it is not started. A peer's state
+	// makes it complete, and the records that it has read are applied.
 	@Test
-	void aFreshViewWithoutACheckpointNeedsAPeer() {
+	void newViewWithoutCheckpointRequiresPeerState() {
 		ProfileView peer = new ProfileView();
 		this.log.append(Samples.change("a", -1, "dawn", 0));
 		peer.read(this.log.read(0, 10));
 		this.log.append(Samples.change("b", 0, "dawn", 1));
 		this.log.trimTo(1);
-		ProfileView fresh = new ProfileView();
-		fresh.read(this.log.read(0, 10));
-		assertThat(fresh.isStarted()).isFalse();
-		assertThat(fresh.hasGap()).isTrue();
-		assertThat(fresh.importState(peer.table().exportState())).hasSize(1);
-		assertThat(fresh.hasGap()).isFalse();
-		assertThat(priority(fresh)).isOne();
+		ProfileView newView = new ProfileView();
+		newView.read(this.log.read(0, 10));
+		assertThat(newView.isStarted()).isFalse();
+		assertThat(newView.hasGap()).isTrue();
+		assertThat(newView.importState(peer.table().exportState())).hasSize(1);
+		assertThat(newView.hasGap()).isFalse();
+		assertThat(priority(newView)).isOne();
 	}
 
-	// Nothing changes for longer than the log keeps records. Without another checkpoint
-	// the last one would be trimmed as well, and a process that starts then would find an
-	// empty stream.
+	// Nothing changes for longer than the retention. Without another checkpoint the last
+	// one would be removed as well, and a process that starts later would find an empty
+	// stream.
 	@Test
-	void aCheckpointIsDueAgainWhileNothingChanges() {
+	void checkpointIsDueAgainWithoutChanges() {
 		ProfileView view = new ProfileView();
 		CheckpointSchedule schedule = new CheckpointSchedule(Duration.ofHours(1), 100, () -> this.now, new Random(1));
 		view.read(this.log.read(0, 10));
@@ -84,10 +85,10 @@
 		assertThat(dueWithin(schedule, view, Duration.ofMinutes(32))).isTrue();
 	}
 
-	// Every reader finds the checkpoint due in the same second. Each waits its own part
-	// of the interval; the others see the first one's record and write none.
+	// A checkpoint becomes due at all readers in the same second. Each waits for its own
+	// random delay; the others read the first one's checkpoint and write none.
 	@Test
-	void oneReadersCheckpointSparesTheOthers() {
+	void checkpointOfOneReaderSuppressesOthers() {
 		this.log.append(Samples.change("a", -1, "dawn", 0));
 		int written = 0;
 		ProfileView[] views = new ProfileView[20];
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/package-info.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of profiles: the fold, its views, and a randomised run over a small fake log.
+ * Tests of the profile table and its views, with a randomised simulation.
  */
 @NullMarked
 package org.banyancove.core.profile;
