--- a/banyancove-core/src/main/java/org/banyancove/core/AccountName.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/AccountName.java
@@ -1,7 +1,7 @@
 package org.banyancove.core;
 
 /**
- * The name of a caller's account, as the operators' settings give it.
+ * The name of a client account, as configured by the operators.
  *
  * @param value the identifier's text, never blank
  */
@@ -20,9 +20,9 @@
 		return this.value.compareTo(other.value);
 	}
 
-	// The methods that a record generates are linked at their first call, which takes
-	// some
-	// ms of a process's start, and identifiers are the keys of most maps.
+	// Explicit since identifiers are the keys of most maps: the methods generated for a
+	// record are linked at their first call, which takes some milliseconds at the
+	// start of a process.
 	@Override
 	public boolean equals(Object other) {
 		return other instanceof AccountName that && this.value.equals(that.value);
--- a/banyancove-core/src/main/java/org/banyancove/core/Body.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/Body.java
@@ -7,11 +7,11 @@
 import java.util.HexFormat;
 
 /**
- * The bytes of a request or an answer, which never change.
+ * The immutable body of a request or an answer.
  */
 public final class Body {
 
-	/** A body without bytes. */
+	/** An empty body. */
 	public static final Body EMPTY = new Body(new byte[0]);
 
 	private final byte[] bytes;
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Creates a body from text in UTF-8.
+	 * Creates a body from the UTF-8 encoding of a text.
 	 * @param text the text
 	 * @return the body
 	 */
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * Returns the bytes as text in UTF-8.
+	 * Returns the bytes decoded as UTF-8.
 	 * @return the text
 	 */
 	public String text() {
@@ -63,9 +63,9 @@
 	}
 
 	/**
-	 * Returns the SHA-256 of the given words and the bytes.
-	 * @param context what the bytes belong to, so that the same bytes sent elsewhere
-	 * differ
+	 * Returns the SHA-256 digest of the given context and the bytes.
+	 * @param context the context of the bytes, so that equal bytes in different contexts
+	 * have different digests
 	 * @return the digest in hexadecimal
 	 */
 	public String digest(String... context) {
@@ -98,7 +98,7 @@
 			return MessageDigest.getInstance("SHA-256");
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("Every JDK has SHA-256", ex);
+			throw new IllegalStateException("Every Java platform must support SHA-256", ex);
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/Identifiers.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/Identifiers.java
@@ -1,11 +1,11 @@
 package org.banyancove.core;
 
 /**
- * Preconditions that all identifiers share.
+ * Common preconditions of identifiers.
  */
 final class Identifiers {
 
-	private static final int LONGEST = 200;
+	private static final int MAXIMUM_LENGTH = 200;
 
 	private Identifiers() {
 	}
@@ -14,9 +14,9 @@
 		if (value.isBlank()) {
 			throw new IllegalArgumentException(type + " must not be blank: '" + value + "'");
 		}
-		if (value.length() > LONGEST) {
+		if (value.length() > MAXIMUM_LENGTH) {
 			throw new IllegalArgumentException(
-					type + " must have at most " + LONGEST + " characters, has " + value.length());
+					type + " must have at most " + MAXIMUM_LENGTH + " characters, has " + value.length());
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/Incarnation.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/Incarnation.java
@@ -1,9 +1,9 @@
 package org.banyancove.core;
 
 /**
- * One life of one process: a restart on the same VM is another incarnation.
+ * One run of a process: a restart on the same VM is another incarnation.
  *
- * @param vm the VM that the process runs on
+ * @param vm the VM on which the process runs
  * @param start a random number drawn when the process started
  */
 public record Incarnation(VmId vm, long start) {
@@ -11,7 +11,7 @@
 	private static final char SEPARATOR = '#';
 
 	/**
-	 * Reads an incarnation from the text that {@link #toString()} gives.
+	 * Parses an incarnation from the result of {@link #toString()}.
 	 * @param text the text
 	 * @return the incarnation
 	 * @throws IllegalArgumentException if the text is not an incarnation
--- a/banyancove-core/src/main/java/org/banyancove/core/Invariant.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/Invariant.java
@@ -1,11 +1,10 @@
 package org.banyancove.core;
 
 /**
- * Assertions that stay on in production: a promise of the system, checked where it could
- * break.
+ * Assertions that are always enabled, also in production.
  * <p>
- * A violated invariant means that going on could break a promise to a caller, so the
- * check throws and the daemon stops the work at hand instead of guessing.
+ * After a violation, continuing could break a guarantee to a caller. The check hence
+ * throws an exception, and the daemon aborts the current operation.
  */
 public final class Invariant {
 
@@ -13,15 +12,15 @@
 	}
 
 	/**
-	 * Checks a promise of the system.
-	 * @param holds whether the promise holds
-	 * @param promise the promise, with the values that show it broken as {@code %s}
-	 * @param values the values for the placeholders in {@code promise}
-	 * @throws InvariantViolationException if {@code holds} is false
+	 * Checks an invariant.
+	 * @param condition whether the invariant holds
+	 * @param message the message format, with {@code %s} for each value
+	 * @param values the values for the placeholders in {@code message}
+	 * @throws InvariantViolationException if {@code condition} is false
 	 */
-	public static void check(boolean holds, String promise, Object... values) {
-		if (!holds) {
-			throw new InvariantViolationException(promise.formatted(values));
+	public static void check(boolean condition, String message, Object... values) {
+		if (!condition) {
+			throw new InvariantViolationException(message.formatted(values));
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/InvariantViolationException.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/InvariantViolationException.java
@@ -1,13 +1,13 @@
 package org.banyancove.core;
 
 /**
- * Thrown when a promise of the system would be broken by going on.
+ * Thrown when an invariant of the system is violated.
  */
 public class InvariantViolationException extends IllegalStateException {
 
 	/**
 	 * Creates the exception.
-	 * @param message the promise that does not hold, with the values that show it
+	 * @param message the violated invariant, with the relevant values
 	 */
 	public InvariantViolationException(String message) {
 		super(message);
--- a/banyancove-core/src/main/java/org/banyancove/core/MachineClass.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/MachineClass.java
@@ -1,7 +1,7 @@
 package org.banyancove.core;
 
 /**
- * The platform's name of a machine class, which sets speed and price.
+ * The platform's name of a machine class, which determines speed and price.
  *
  * @param value the identifier's text, never blank
  */
--- a/banyancove-core/src/main/java/org/banyancove/core/RequestId.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/RequestId.java
@@ -1,7 +1,7 @@
 package org.banyancove.core;
 
 /**
- * The identifier of a caller's request, unique over all entry processes.
+ * The identifier of a caller's request, unique across all entry processes.
  *
  * @param value the identifier's text, never blank
  */
--- a/banyancove-core/src/main/java/org/banyancove/core/ServiceName.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/ServiceName.java
@@ -20,9 +20,9 @@
 		return this.value.compareTo(other.value);
 	}
 
-	// The methods that a record generates are linked at their first call, which takes
-	// some
-	// ms of a process's start, and identifiers are the keys of most maps.
+	// Explicit since identifiers are the keys of most maps: the methods generated for a
+	// record are linked at their first call, which takes some milliseconds at the
+	// start of a process.
 	@Override
 	public boolean equals(Object other) {
 		return other instanceof ServiceName that && this.value.equals(that.value);
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnAlarm.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnAlarm.java
@@ -1,19 +1,21 @@
 package org.banyancove.core.burn;
 
 /**
- * The alarms on burn. Each asks for a rate over a long window and over a short one: the
- * long one keeps a few bad requests from waking anyone, the short one ends the alarm soon
- * after the cause has gone.
+ * The burn-rate alarms. Each requires a rate over a long and a short window: the long
+ * window prevents alarms for a few failed requests, the short window ends the alarm soon
+ * after the cause was removed.
  */
 public enum BurnAlarm {
 
-	/** At this rate a month's budget is gone in two days: act now. */
+	/** This rate spends a month's budget in two days and requires immediate action. */
 	FAST(14.4, BurnWindow.ONE_HOUR, BurnWindow.FIVE_MINUTES),
 
-	/** At this rate a month's budget is gone in five days: act today. */
+	/**
+	 * This rate spends a month's budget in five days and requires action the same day.
+	 */
 	SLOW(6, BurnWindow.SIX_HOURS, BurnWindow.THIRTY_MINUTES);
 
-	private static final double MOST_REQUESTS = 0.75;
+	private static final double MISSED_SHARE_THRESHOLD = 0.75;
 
 	private final double rate;
 
@@ -28,27 +30,27 @@
 	}
 
 	/**
-	 * Returns the burn rate from which the alarm is raised.
-	 * @return the rate, 1 being a budget spent exactly by the end of its period
+	 * Returns the burn rate at which the alarm is raised.
+	 * @return the rate, where 1 spends the budget exactly by the end of its period
 	 */
 	public double rate() {
 		return this.rate;
 	}
 
 	/**
-	 * Returns the burn rate from which the alarm is raised for an objective. A rate
-	 * cannot exceed one over the share that may be missed: 10 for an objective of 0.9,
-	 * where an alarm from 14.4 would stay silent while every request fails. Such an alarm
-	 * is raised once most requests are missed.
+	 * Returns the burn rate at which the alarm is raised for an objective. A rate cannot
+	 * exceed the reciprocal of the share that may be missed: 10 for an objective of 0.9,
+	 * for which an alarm at 14.4 would not be raised while every request fails. Such an
+	 * alarm is raised when three quarters of the requests are missed.
 	 * @param objective the share of requests that should meet the targets
 	 * @return the rate
 	 */
 	public double rateFor(double objective) {
-		return Math.min(this.rate, MOST_REQUESTS / (1 - objective));
+		return Math.min(this.rate, MISSED_SHARE_THRESHOLD / (1 - objective));
 	}
 
 	/**
-	 * Returns the window that shows the burn.
+	 * Returns the window that detects the burn.
 	 * @return the longer window
 	 */
 	public BurnWindow longWindow() {
@@ -56,7 +58,7 @@
 	}
 
 	/**
-	 * Returns the window that confirms that the burn goes on.
+	 * Returns the window that confirms that the burn continues.
 	 * @return the shorter window
 	 */
 	public BurnWindow shortWindow() {
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnKey.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnKey.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Whose burn is measured.
+ * The profile and account for which burn is measured.
  *
  * @param profile the profile
  * @param account the account, or {@code null} for all accounts together
@@ -18,7 +18,7 @@
 		.thenComparing(BurnKey::accountLabel);
 
 	/**
-	 * Returns the account for people.
+	 * Returns the display name of the account.
 	 * @return the account's name, or {@code *} for all accounts
 	 */
 	public String accountLabel() {
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnPoint.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnPoint.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 /**
- * The burn rate over one window that ended at some time.
+ * The burn rate over a window that ended at a given time.
  *
  * @param at the window's end
  * @param rate the burn rate
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnRow.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnRow.java
@@ -9,7 +9,7 @@
  * @param key the profile and account
  * @param objective the share of requests that should meet the targets
  * @param windows the burn over each window, in the order of {@link BurnWindow}
- * @param alarms the alarms raised
+ * @param alarms the raised alarms
  */
 public record BurnRow(BurnKey key, double objective, List<WindowBurn> windows, Set<BurnAlarm> alarms) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnTable.java
@@ -14,8 +14,8 @@
 import org.banyancove.core.ProfileName;
 
 /**
- * Counts requests by profile and account over the three days before a report and works
- * out how fast each error budget is spent. Used by one thread.
+ * Counts requests by profile and account over the three days before a report and computes
+ * the burn rate of each error budget. Used by one thread.
  */
 public final class BurnTable {
 
@@ -37,8 +37,7 @@
 	}
 
 	/**
-	 * Adds a request. One that does not count, or is outside the three days, is passed
-	 * over.
+	 * Adds a request. One that does not count, or is outside the three days, is ignored.
 	 * @param sample the request
 	 */
 	public void add(RequestSample sample) {
@@ -48,12 +47,12 @@
 	}
 
 	/**
-	 * Adds requests that were counted together.
+	 * Adds a number of requests.
 	 * @param profile the profile
 	 * @param account the account
-	 * @param at the time they are counted at
-	 * @param total the requests
-	 * @param missed those that missed the targets
+	 * @param at the time of the requests
+	 * @param total the number of requests
+	 * @param missed the number of requests that missed the targets
 	 */
 	public void add(ProfileName profile, AccountName account, Instant at, long total, long missed) {
 		if (missed < 0 || missed > total) {
@@ -65,8 +64,8 @@
 	}
 
 	/**
-	 * Works out the burn of every profile and account.
-	 * @return the rows, by profile, all accounts together first
+	 * Computes the burn of every profile and account.
+	 * @return the rows by profile, with that of all accounts first
 	 */
 	public List<BurnRow> rows() {
 		List<BurnRow> rows = new ArrayList<>();
@@ -75,11 +74,11 @@
 	}
 
 	/**
-	 * Works out how the burn rate went.
+	 * Computes the burn rate over time.
 	 * @param key the profile and account
 	 * @param window the window that ends at each point
 	 * @param step the time between points, in whole minutes
-	 * @return the points, in order of time, the last at the report's time
+	 * @return the points in the order of time, the last one at the report's time
 	 */
 	public List<BurnPoint> history(BurnKey key, BurnWindow window, Duration step) {
 		MinuteCounts minutes = counts(key);
@@ -95,7 +94,7 @@
 	}
 
 	private MinuteCounts counts(BurnKey key) {
-		return this.counts.computeIfAbsent(key, (absent) -> new MinuteCounts());
+		return this.counts.computeIfAbsent(key, (absentKey) -> new MinuteCounts());
 	}
 
 	private BurnRow row(BurnKey key, MinuteCounts minutes) {
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnWindow.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnWindow.java
@@ -7,19 +7,19 @@
  */
 public enum BurnWindow {
 
-	/** Five minutes: confirms that a fast burn still goes on. */
+	/** Five minutes: confirms that a fast burn continues. */
 	FIVE_MINUTES("5m", Duration.ofMinutes(5)),
 
-	/** Thirty minutes: confirms that a slow burn still goes on. */
+	/** Thirty minutes: confirms that a slow burn continues. */
 	THIRTY_MINUTES("30m", Duration.ofMinutes(30)),
 
-	/** One hour: shows a fast burn. */
+	/** One hour: detects a fast burn. */
 	ONE_HOUR("1h", Duration.ofHours(1)),
 
-	/** Six hours: shows a slow burn. */
+	/** Six hours: detects a slow burn. */
 	SIX_HOURS("6h", Duration.ofHours(6)),
 
-	/** Three days: the period that the budget is for. */
+	/** Three days: the period of the budget. */
 	THREE_DAYS("3d", Duration.ofDays(3));
 
 	private final String label;
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * Returns the window's short name.
-	 * @return the name, such as {@code 6h}
+	 * Returns the window's label.
+	 * @return the label, such as {@code 6h}
 	 */
 	public String label() {
 		return this.label;
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/MinuteCounts.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/MinuteCounts.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * The requests of one key by age in minutes before the report's time.
+ * The number of requests of one key for each minute before the report's time.
  */
 final class MinuteCounts {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/RequestSample.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/RequestSample.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One answered request, as the entry's trace records it.
+ * An answered request as recorded in the entry's trace.
  *
  * @param at when the answer ended
  * @param requestId the request
@@ -20,20 +20,20 @@
  * @param service the service
  * @param profile the profile under which the request was accepted
  * @param firstTokenMillis the time to the first token in milliseconds, or {@code null} if
- * none came
+ * there was none
  * @param totalMillis the time to the end of the answer in milliseconds
- * @param met whether the answer was whole and met the profile's targets
- * @param errorCode the code of the error kind, or {@code null} for an answer without one
+ * @param met whether the answer was complete and met the profile's targets
+ * @param errorCode the code of the error kind, or {@code null} if there was no error
  */
 public record RequestSample(Instant at, RequestId requestId, AccountName account, ServiceName service,
 		ProfileName profile, @Nullable Long firstTokenMillis, long totalMillis, boolean met,
 		@Nullable String errorCode) {
 
 	/**
-	 * Returns whether the request counts against its profile's objective. One that the
-	 * caller must change before it can succeed, and that did not run, does not: a caller
-	 * that sends malformed requests would otherwise wake the operators. Nor does a late
-	 * repeat that is told that its call ran.
+	 * Returns whether the request counts against its profile's objective. A request that
+	 * did not run and that the caller must change before it can succeed does not count: a
+	 * caller that sends malformed requests would otherwise raise an alarm. A late repeat
+	 * whose answer states that its call ran does not count either.
 	 * @return whether the request counts
 	 */
 	public boolean counts() {
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/WindowBurn.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/WindowBurn.java
@@ -6,12 +6,12 @@
  * The burn over one window.
  *
  * @param window the window
- * @param total the requests that count
- * @param missed those that missed the profile's targets
- * @param rate the share missed over the share that the objective allows: 1 spends the
- * budget exactly by the end of its period; 0 without requests
+ * @param total the number of requests that count
+ * @param missed the number of those that missed the profile's targets
+ * @param rate the ratio of the missed share to the share that the objective allows: 1
+ * spends the budget exactly by the end of its period; 0 without requests
  * @param budgetSpent the share of the three days' budget that was spent in the window;
- * above 1 the objective is broken
+ * above 1 the objective is missed
  */
 public record WindowBurn(BurnWindow window, long total, long missed, double rate, double budgetSpent) {
 
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The arithmetic of service-level burn: how fast a profile's error budget is spent.
+ * Computation of burn rates, at which the error budgets of profiles are spent.
  */
 @NullMarked
 package org.banyancove.core.burn;
--- a/banyancove-core/src/main/java/org/banyancove/core/error/BanyancoveException.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/error/BanyancoveException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The root of the exceptions that callers and operators see: each has one
+ * The base class of exceptions reported to callers and operators. Each has an
  * {@link ErrorKind}.
  */
 public class BanyancoveException extends RuntimeException {
@@ -12,8 +12,8 @@
 
 	/**
 	 * Creates the exception.
-	 * @param kind the kind, which decides the answer
-	 * @param message what is wrong, naming the value
+	 * @param kind the kind, which determines the answer
+	 * @param message the description of the error, with the value
 	 */
 	public BanyancoveException(ErrorKind kind, String message) {
 		this(kind, message, null);
@@ -21,8 +21,8 @@
 
 	/**
 	 * Creates the exception with its cause.
-	 * @param kind the kind, which decides the answer
-	 * @param message what is wrong, naming the value
+	 * @param kind the kind, which determines the answer
+	 * @param message the description of the error, with the value
 	 * @param cause the cause, or {@code null}
 	 */
 	public BanyancoveException(ErrorKind kind, String message, @Nullable Throwable cause) {
--- a/banyancove-core/src/main/java/org/banyancove/core/error/CallExecution.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/error/CallExecution.java
@@ -1,17 +1,17 @@
 package org.banyancove.core.error;
 
 /**
- * What an answer says about whether the call ran at an endpoint.
+ * Whether a call ran at an endpoint, as stated by its answer.
  */
 public enum CallExecution {
 
-	/** The call did not run, and this attempt never will. */
+	/** The call did not run, and this attempt will not run it. */
 	NOT_RUN("not-run"),
 
 	/** The call ran; the answer is its outcome. */
 	RAN("ran"),
 
-	/** The call may have run; only its key can tell. */
+	/** The call may have run; only a repeat with its key reveals the outcome. */
 	UNKNOWN("unknown");
 
 	private final String headerValue;
@@ -21,8 +21,8 @@
 	}
 
 	/**
-	 * Returns the value for the header that tells the caller.
-	 * @return the header's value
+	 * Returns the value of the response header.
+	 * @return the header value
 	 */
 	public String headerValue() {
 		return this.headerValue;
--- a/banyancove-core/src/main/java/org/banyancove/core/error/ErrorKind.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/error/ErrorKind.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * The closed list of error kinds, which is also the table from a kind to its answer.
+ * The complete list of error kinds with the answer to each.
  */
 public enum ErrorKind {
 
@@ -11,11 +11,11 @@
 	MALFORMED_REQUEST(400, CallExecution.NOT_RUN, Repetition.USELESS,
 			"The request cannot be read: its JSON, path or headers are wrong"),
 
-	/** The profile asks for an idempotency key and the call has none. */
+	/** The profile requires an idempotency key and the call has none. */
 	KEY_REQUIRED(400, CallExecution.NOT_RUN, Repetition.USELESS,
 			"The profile asks for an idempotency key and the call has none"),
 
-	/** A published profile or service breaks a rule of its fields. */
+	/** A published profile or service has a field that is out of its range. */
 	PROFILE_INVALID(400, CallExecution.NOT_RUN, Repetition.USELESS,
 			"A published profile or service breaks a rule of its fields"),
 
@@ -28,7 +28,7 @@
 	/** No entry holds a request of that identifier. */
 	REQUEST_UNKNOWN(404, CallExecution.UNKNOWN, Repetition.USELESS, "No entry holds a request of that identifier"),
 
-	/** The change was made from a revision that is no longer the newest. */
+	/** The change is based on a revision that is no longer the latest. */
 	REVISION_CONFLICT(409, CallExecution.NOT_RUN, Repetition.USELESS,
 			"The change was made from a revision that is no longer the newest"),
 
@@ -36,10 +36,10 @@
 	CALL_IN_PROGRESS(409, CallExecution.UNKNOWN, Repetition.SAME_KEY_AFTER_DELAY,
 			"A call under this key is running; its outcome is not known yet"),
 
-	/** The service is retired and takes no new work. */
+	/** The service is retired and accepts no new requests. */
 	SERVICE_RETIRED(410, CallExecution.NOT_RUN, Repetition.USELESS, "The service is retired and takes no new work"),
 
-	/** The call ran before; its answer is no longer kept. */
+	/** The call ran before; its answer is no longer retained. */
 	ANSWER_NOT_KEPT(410, CallExecution.RAN, Repetition.USELESS, "The call ran before; its answer is no longer kept"),
 
 	/** The body is larger than the service allows. */
@@ -54,7 +54,7 @@
 	/** The key was used before with another body. */
 	KEY_BODY_MISMATCH(422, CallExecution.NOT_RUN, Repetition.USELESS, "The key was used before with another body"),
 
-	/** The request crashed two endpoints and is not tried again. */
+	/** The request crashed two endpoints and is not retried. */
 	REQUEST_CRASHES_ENDPOINTS(422, CallExecution.UNKNOWN, Repetition.USELESS,
 			"The request crashed two endpoints and is not tried again"),
 
@@ -62,14 +62,14 @@
 	ACCOUNT_OVER_LIMIT(429, CallExecution.NOT_RUN, Repetition.AFTER_DELAY,
 			"The account uses more than its share while others wait"),
 
-	/** A fault of the system itself. */
+	/** An internal error. */
 	INTERNAL(500, CallExecution.UNKNOWN, Repetition.SAME_KEY_AFTER_DELAY, "A fault of the system itself"),
 
 	/** The endpoints failed the request and the retry budget is spent. */
 	ENDPOINT_FAILED(502, CallExecution.UNKNOWN, Repetition.AFTER_DELAY,
 			"The endpoints failed the request and the retry budget is spent"),
 
-	/** The answer broke off and could not be completed. */
+	/** The answer was interrupted and could not be completed. */
 	ANSWER_INCOMPLETE(502, CallExecution.UNKNOWN, Repetition.AFTER_DELAY,
 			"The answer broke off and could not be completed"),
 
@@ -77,24 +77,24 @@
 	OVERLOADED(503, CallExecution.NOT_RUN, Repetition.AFTER_DELAY,
 			"The endpoints cannot meet the deadline for this request"),
 
-	/** No endpoint that may take the request is alive. */
+	/** No eligible endpoint is available. */
 	NO_ENDPOINT(503, CallExecution.NOT_RUN, Repetition.AFTER_DELAY, "No endpoint that may take the request is alive"),
 
-	/** A call that may not be repeated cannot be claimed without the log. */
+	/** A call that must not be repeated cannot be claimed without the log. */
 	LOG_UNREACHABLE(503, CallExecution.NOT_RUN, Repetition.SAME_KEY_AFTER_DELAY,
 			"A call that may not be repeated cannot be claimed without the log"),
 
-	/** This entry is stopping and takes no new work. */
+	/** This entry is stopping and accepts no new requests. */
 	STOPPING(503, CallExecution.NOT_RUN, Repetition.AFTER_DELAY, "This entry is stopping and takes no new work"),
 
 	/** The call was dispatched and its outcome is not known. */
 	OUTCOME_UNKNOWN(504, CallExecution.UNKNOWN, Repetition.SAME_KEY_AFTER_DELAY,
 			"The call was dispatched and its outcome is not known"),
 
-	/** A settings file or command line is wrong. */
+	/** A settings file or command line is invalid. */
 	SETTINGS_INVALID(500, CallExecution.NOT_RUN, Repetition.USELESS, "A settings file or command line is wrong"),
 
-	/** An address to listen on is taken. */
+	/** A listen address is in use. */
 	ADDRESS_IN_USE(500, CallExecution.NOT_RUN, Repetition.USELESS, "An address to listen on is taken"),
 
 	/** The platform does not answer. */
@@ -124,7 +124,7 @@
 	}
 
 	/**
-	 * Returns the code by which programs tell the kind.
+	 * Returns the code by which programs recognize the kind.
 	 * @return the code, in lower case with underscores
 	 */
 	public String code() {
@@ -132,7 +132,7 @@
 	}
 
 	/**
-	 * Returns what the answer says about whether the call ran.
+	 * Returns whether the call ran, as stated by the answer.
 	 * @return whether the call ran
 	 */
 	public CallExecution execution() {
@@ -148,8 +148,8 @@
 	}
 
 	/**
-	 * Returns the meaning for people, one sentence without a full stop.
-	 * @return the meaning
+	 * Returns the description for people, one sentence without a full stop.
+	 * @return the description
 	 */
 	public String meaning() {
 		return this.meaning;
--- a/banyancove-core/src/main/java/org/banyancove/core/error/Repetition.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/error/Repetition.java
@@ -5,13 +5,13 @@
  */
 public enum Repetition {
 
-	/** Repeating cannot help until the caller or the operators change something. */
+	/** A repeat cannot succeed until the caller or the operators change something. */
 	USELESS,
 
-	/** The caller should repeat after the time that the answer gives. */
+	/** The caller should repeat the request after the delay given in the answer. */
 	AFTER_DELAY,
 
-	/** The caller should ask again under the same key, after the time given. */
+	/** The caller should repeat the request with the same key after the given delay. */
 	SAME_KEY_AFTER_DELAY
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/error/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/error/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The closed list of error kinds and the table from a kind to its answer.
+ * Error kinds with their answers, and the exception that reports them.
  */
 @NullMarked
 package org.banyancove.core.error;
--- a/banyancove-core/src/main/java/org/banyancove/core/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Identifiers and checks that every other package of the core is built from.
+ * Identifiers and checks used by all other packages of the core.
  */
 @NullMarked
 package org.banyancove.core;
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/CallKind.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/CallKind.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.peer;
 
 /**
- * What a holder may do with a request whose owner died.
+ * Whether a holder may run a request again after its owner failed.
  */
 public enum CallKind {
 
@@ -12,8 +12,8 @@
 	REPEATABLE,
 
 	/**
-	 * A plain call that may run at most once: only the claimant of its key may run it, a
-	 * holder never does.
+	 * A plain call that runs at most once: only the claimant of its key may run it, never
+	 * a holder.
 	 */
 	AT_MOST_ONCE
 
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/DataCenterDigest.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/DataCenterDigest.java
@@ -3,7 +3,7 @@
 import org.banyancove.core.DataCenterName;
 
 /**
- * A digest over what a process believes of a data center's living peers.
+ * A digest of the states of a data center's living peers at one process.
  *
  * @param dataCenter the data center
  * @param digest the digest
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/PeerMessage.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/PeerMessage.java
@@ -17,8 +17,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A message between two entry processes. Messages may be late, repeated, reordered or
- * lost; every receiver copes with that.
+ * A message between two entry processes. Messages may be delayed, duplicated, reordered
+ * or lost; every receiver tolerates this.
  */
 public sealed interface PeerMessage {
 
@@ -29,17 +29,18 @@
 	Incarnation from();
 
 	/**
-	 * A sign of life, with what neighbours need to know.
+	 * A heartbeat with the state that neighbors require.
 	 *
 	 * @param from the sender
-	 * @param sequence a number that rises with each heartbeat of the sender
-	 * @param membershipDigest a digest over the living peers of the sender's data center
+	 * @param sequence a number that increases with each heartbeat of the sender
+	 * @param membershipDigest a digest of the living peers of the sender's data center
 	 * @param configurationOffset the offset up to which the sender has read the profiles
-	 * @param keySlotOffsets the offset up to which it has read each slot of keys
-	 * @param sent what it sent to endpoints since its last heartbeat to the receiver
-	 * @param leavingEndpoints endpoints that it knows to be leaving
-	 * @param suspectsDigest a digest over the fingerprints that it suspects
-	 * @param states statements about peers
+	 * @param keySlotOffsets the offset up to which it has read each key slot
+	 * @param sent the load that it sent to endpoints since its last heartbeat to the
+	 * receiver
+	 * @param leavingEndpoints the leaving endpoints
+	 * @param suspectsDigest a digest of the fingerprints that it suspects
+	 * @param states the states of peers
 	 */
 	record Heartbeat(Incarnation from, long sequence, long membershipDigest, long configurationOffset,
 			List<Long> keySlotOffsets, List<EndpointLoad> sent, List<EndpointId> leavingEndpoints, long suspectsDigest,
@@ -55,7 +56,7 @@
 	}
 
 	/**
-	 * Asks a neighbor that has been silent for a sign of life, or gives it.
+	 * Probes a silent neighbor, or answers a probe.
 	 *
 	 * @param from the sender
 	 * @param address the sender's address in the form {@code host:port}
@@ -66,12 +67,12 @@
 	}
 
 	/**
-	 * Asks for the statements about peers of the data centers of which the receiver
-	 * believes something else.
+	 * Requests the states of the peers of those data centers whose digests differ at the
+	 * receiver.
 	 *
 	 * @param from the sender
-	 * @param digests a digest over the living peers of each data center that the sender
-	 * knows
+	 * @param digests a digest of the living peers of each data center of the sender's
+	 * membership list
 	 */
 	record MembershipRequest(Incarnation from, List<DataCenterDigest> digests) implements PeerMessage {
 
@@ -82,10 +83,10 @@
 	}
 
 	/**
-	 * Statements about peers.
+	 * Sends the states of peers.
 	 *
 	 * @param from the sender
-	 * @param states the statements
+	 * @param states the states
 	 */
 	record MembershipState(Incarnation from, List<PeerState> states) implements PeerMessage {
 
@@ -96,12 +97,12 @@
 	}
 
 	/**
-	 * Tells that a VM, with its endpoints, is about to be reclaimed.
+	 * Announces that a VM with its endpoints is about to be reclaimed.
 	 *
-	 * @param from the sender, not always the first to know
+	 * @param from the sender, which may forward the notice of another process
 	 * @param vm the VM
 	 * @param endpoints the endpoints on it
-	 * @param reclaimAt the time at which the platform takes it
+	 * @param reclaimAt the time at which the platform reclaims it
 	 */
 	record LeavingNotice(Incarnation from, VmId vm, List<EndpointId> endpoints,
 			Instant reclaimAt) implements PeerMessage {
@@ -113,11 +114,11 @@
 	}
 
 	/**
-	 * Tells what is known of a request's fingerprint after an endpoint crashed.
+	 * Reports the verdict on a request's fingerprint after an endpoint crashed.
 	 *
 	 * @param from the sender
 	 * @param fingerprint the digest of the request's service and body
-	 * @param verdict what is known
+	 * @param verdict the verdict
 	 * @param endpoint the endpoint that crashed or, for a cleared one, that ran it
 	 * @param at the time of the crash
 	 */
@@ -127,7 +128,7 @@
 	}
 
 	/**
-	 * Asks a peer to hold a request.
+	 * Requests a peer to hold a request.
 	 *
 	 * @param from the owner
 	 * @param ownership the owner's ownership number for the request
@@ -138,13 +139,14 @@
 	}
 
 	/**
-	 * Answers that a request is held, or that a higher ownership number is known.
+	 * Acknowledges that a request is held, or reports a higher ownership number.
 	 *
 	 * @param from the holder
 	 * @param request the request
-	 * @param ownership the highest ownership number that the holder knows
-	 * @param nextOffset the offset of the next token of the answer that it has not got
-	 * @param held whether the holder holds the request for the asker
+	 * @param ownership the highest ownership number received by the holder
+	 * @param nextOffset the offset of the first token of the answer that it has not
+	 * received
+	 * @param held whether the holder holds the request for the sender of the request
 	 */
 	record HoldAcknowledged(Incarnation from, RequestId request, long ownership, long nextOffset,
 			boolean held) implements PeerMessage {
@@ -152,25 +154,25 @@
 	}
 
 	/**
-	 * Copies a stretch of an answer to the holder.
+	 * Copies a part of an answer to the holder.
 	 *
 	 * @param from the owner
 	 * @param request the request
 	 * @param ownership the owner's ownership number
-	 * @param progress the stretch
+	 * @param progress the part of the answer
 	 */
 	record HoldProgress(Incarnation from, RequestId request, long ownership, Progress progress) implements PeerMessage {
 
 	}
 
 	/**
-	 * Tells the holder that the request has ended.
+	 * Notifies the holder that the request has ended.
 	 *
 	 * @param from the owner
 	 * @param request the request
 	 * @param ownership the owner's ownership number
 	 * @param totalOffset the offset after the answer's last token
-	 * @param end how the answer ended
+	 * @param end the end of the answer
 	 */
 	record HoldReleased(Incarnation from, RequestId request, long ownership, long totalOffset,
 			EndOfAnswer end) implements PeerMessage {
@@ -178,7 +180,7 @@
 	}
 
 	/**
-	 * Tells a peer that it need not hold a request any longer, since another one does.
+	 * Notifies a peer that it need no longer hold a request, since another one holds it.
 	 *
 	 * @param from the owner
 	 * @param request the request
@@ -189,24 +191,24 @@
 	}
 
 	/**
-	 * Hands a request over to a new owner.
+	 * Transfers a request to a new owner.
 	 *
 	 * @param from the former owner
-	 * @param ownership the ownership number that the new owner gets
+	 * @param ownership the ownership number of the new owner
 	 * @param held the request
-	 * @param progress the whole answer so far, from offset 0
+	 * @param progress the answer so far, from offset 0
 	 */
 	record HandOver(Incarnation from, long ownership, HeldRequest held, Progress progress) implements PeerMessage {
 
 	}
 
 	/**
-	 * Answers whether a request was taken over.
+	 * Acknowledges or rejects the transfer of a request.
 	 *
 	 * @param from the receiver
 	 * @param request the request
-	 * @param ownership the highest ownership number that the receiver knows
-	 * @param accepted whether the receiver owns the request now
+	 * @param ownership the highest ownership number received by the receiver
+	 * @param accepted whether the receiver now owns the request
 	 */
 	record HandOverAcknowledged(Incarnation from, RequestId request, long ownership,
 			boolean accepted) implements PeerMessage {
@@ -214,12 +216,12 @@
 	}
 
 	/**
-	 * Asks for the answer of a request whose caller came to another entry.
+	 * Requests the answer to a request whose caller reconnected to another entry.
 	 *
 	 * @param from the sender
 	 * @param request the request
-	 * @param account the account that asks; no other account's answer is given
-	 * @param fromOffset the offset of the first token wanted
+	 * @param account the requesting account; answers to other accounts are not returned
+	 * @param fromOffset the offset of the first requested token
 	 */
 	record FetchAnswer(Incarnation from, RequestId request, AccountName account,
 			long fromOffset) implements PeerMessage {
@@ -227,14 +229,14 @@
 	}
 
 	/**
-	 * A stretch of an answer for a caller that came to another entry.
+	 * Sends a part of an answer for a caller that reconnected to another entry.
 	 *
 	 * @param from the sender
 	 * @param request the request
-	 * @param found whether the sender knows the request
-	 * @param owner the request's owner as the sender knows it, or {@code null}
+	 * @param found whether the sender has a record of the request
+	 * @param owner the request's owner as known to the sender, or {@code null}
 	 * @param pieces the pieces, in order
-	 * @param end how the answer ended, or {@code null} while it runs
+	 * @param end the end of the answer, or {@code null} while it is running
 	 */
 	record AnswerPieces(Incarnation from, RequestId request, boolean found, @Nullable Incarnation owner,
 			List<Piece> pieces, @Nullable EndOfAnswer end) implements PeerMessage {
@@ -246,25 +248,25 @@
 	}
 
 	/**
-	 * Asks a peer for records of the platform's log.
+	 * Requests records of the platform's log from a peer.
 	 *
 	 * @param from the sender
 	 * @param stream the log's stream
-	 * @param fromOffset the offset of the first record wanted
-	 * @param limit the most records wanted
+	 * @param fromOffset the offset of the first requested record
+	 * @param limit the maximum number of records
 	 */
 	record LogRecordsRequest(Incarnation from, String stream, long fromOffset, int limit) implements PeerMessage {
 
 	}
 
 	/**
-	 * Passes on records of the platform's log.
+	 * Forwards records of the platform's log.
 	 *
 	 * @param from the sender
 	 * @param stream the log's stream
-	 * @param firstRetained the lowest offset that the log still keeps, as last seen
-	 * @param endOffset the offset after the last record, as last seen
-	 * @param records the records, in the order of their offsets and without gap
+	 * @param firstRetained the lowest offset that the log retains, as last read
+	 * @param endOffset the offset after the last record, as last read
+	 * @param records the records, in the order of their offsets without a gap
 	 */
 	record LogRecordsRelay(Incarnation from, String stream, long firstRetained, long endOffset,
 			List<PeerLogRecord> records) implements PeerMessage {
@@ -276,17 +278,17 @@
 	}
 
 	/**
-	 * Forwards a call that may run at most once to the usual claimant of its key.
+	 * Forwards an at-most-once call to the usual claimant of its key.
 	 *
 	 * @param from the sender
 	 * @param request the request
 	 * @param account the caller's account
 	 * @param key the idempotency key
-	 * @param service the service that is called
+	 * @param service the requested service
 	 * @param method the HTTP method
 	 * @param path the path, with its query
 	 * @param body the request's body
-	 * @param deadline the time after which the answer is of no use
+	 * @param deadline the time after which the answer is useless
 	 */
 	record ClaimForward(Incarnation from, RequestId request, AccountName account, String key, ServiceName service,
 			String method, String path, Body body, Instant deadline) implements PeerMessage {
@@ -301,7 +303,7 @@
 	 * @param status the HTTP status of the answer
 	 * @param body the answer's body
 	 * @param error the kind of error, or {@code null} if the call ran
-	 * @param retryAfter the time after which the caller should come back
+	 * @param retryAfter the delay after which the caller should retry
 	 */
 	record ClaimForwardAnswer(Incarnation from, RequestId request, int status, Body body, @Nullable ErrorKind error,
 			Duration retryAfter) implements PeerMessage {
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/PeerPort.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/PeerPort.java
@@ -1,7 +1,7 @@
 package org.banyancove.core.peer;
 
 /**
- * Sends messages to peers, without waiting and without a promise that they arrive.
+ * Sends messages to peers asynchronously and without a guarantee of delivery.
  */
 @FunctionalInterface
 public interface PeerPort {
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/PeerState.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/PeerState.java
@@ -5,25 +5,25 @@
 import org.banyancove.core.ZoneName;
 
 /**
- * A statement about one entry process, as peers pass it on.
+ * The state of one entry process as disseminated by peers.
  *
  * @param incarnation the process
  * @param dataCenter its data center
  * @param zone its zone
  * @param address the address of its peer port, in the form {@code host:port}
- * @param refutation a number that only the process itself raises, to overrule statements
- * that call it suspected
- * @param status what is believed of it
+ * @param refutation a number that only the process itself increments, to overrule states
+ * in which it is suspected
+ * @param status its status
  */
 public record PeerState(Incarnation incarnation, DataCenterName dataCenter, ZoneName zone, String address,
 		long refutation, PeerStatus status) {
 
 	/**
-	 * Returns whether this statement overrules another about the same process. Only the
-	 * process itself raises the refutation number, so that its newest word counts; among
-	 * statements with the same number the later status counts.
-	 * @param other the other statement
-	 * @return whether this one is to be believed instead
+	 * Returns whether this state overrules another state of the same process. Only the
+	 * process itself increments the refutation number, so that its latest state overrules
+	 * earlier ones; among states with the same number the later status has precedence.
+	 * @param other the other state
+	 * @return whether this state replaces the other one
 	 */
 	public boolean overrules(PeerState other) {
 		if (this.refutation != other.refutation) {
@@ -33,27 +33,27 @@
 	}
 
 	/**
-	 * Returns whether the process may still do work that it owns.
-	 * @return whether it is not believed dead
+	 * Returns whether the process may still be working on requests that it owns.
+	 * @return whether it is not declared dead
 	 */
 	public boolean isLiving() {
 		return this.status != PeerStatus.DEAD;
 	}
 
 	/**
-	 * Returns this statement with another status.
+	 * Returns this state with another status.
 	 * @param newStatus the status
-	 * @return the statement
+	 * @return the state
 	 */
 	public PeerState withStatus(PeerStatus newStatus) {
 		return new PeerState(this.incarnation, this.dataCenter, this.zone, this.address, this.refutation, newStatus);
 	}
 
 	/**
-	 * Returns this statement with another refutation number and status.
-	 * @param newRefutation the number
+	 * Returns this state with another refutation number and status.
+	 * @param newRefutation the refutation number
 	 * @param newStatus the status
-	 * @return the statement
+	 * @return the state
 	 */
 	public PeerState with(long newRefutation, PeerStatus newStatus) {
 		return new PeerState(this.incarnation, this.dataCenter, this.zone, this.address, newRefutation, newStatus);
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/PeerStatus.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/PeerStatus.java
@@ -1,21 +1,23 @@
 package org.banyancove.core.peer;
 
 /**
- * What is believed of an entry process. The order is the order of precedence among
- * statements with the same refutation number.
+ * The status of an entry process. Among states with the same refutation number, a later
+ * constant has precedence over an earlier one.
  */
 public enum PeerStatus {
 
-	/** It answers. */
+	/** The process sends heartbeats. */
 	ALIVE,
 
-	/** It answers, and its VM is about to be reclaimed or stopped. */
+	/** The process sends heartbeats, and its VM is about to be reclaimed or stopped. */
 	LEAVING,
 
-	/** A neighbour has not heard from it for longer than the suspicion timeout. */
+	/** A neighbor has received no heartbeat for longer than the suspicion timeout. */
 	SUSPECTED,
 
-	/** It did not refute the suspicion in time, or it said that it ends. */
+	/**
+	 * The suspicion was not refuted in time, or the process announced its termination.
+	 */
 	DEAD
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/Progress.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/Progress.java
@@ -7,13 +7,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A stretch of an answer and where its stream runs. The pieces keep their bounds, so that
- * a caller can go on from any event it saw.
+ * A part of an answer with the endpoint that generates it. The pieces retain their
+ * bounds, so that a caller can resume from any event that it has received.
  *
- * @param endpoint the endpoint that runs the stream, or {@code null} if none does
- * @param attempt the number of the attempt that runs
- * @param fromOffset the offset of the stretch's first token
- * @param pieces the pieces, in order and without gap
+ * @param endpoint the endpoint that generates the answer, or {@code null} if there is
+ * none
+ * @param attempt the number of the current attempt
+ * @param fromOffset the offset of the first token
+ * @param pieces the pieces, in order without a gap
  */
 public record Progress(@Nullable EndpointId endpoint, int attempt, long fromOffset, List<Piece> pieces) {
 
@@ -31,14 +32,14 @@
 		for (Piece piece : pieces) {
 			if (piece.fromOffset() != expected) {
 				throw new IllegalArgumentException(
-						"pieces must have no gap: expected " + expected + ", got " + piece.fromOffset());
+						"pieces must be contiguous: expected offset " + expected + ", got " + piece.fromOffset());
 			}
 			expected = piece.toOffset();
 		}
 	}
 
 	/**
-	 * Returns the progress of a request that has no token yet.
+	 * Returns the progress of a request without a token.
 	 * @return the empty progress
 	 */
 	public static Progress none() {
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/SuspectVerdict.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/SuspectVerdict.java
@@ -1,17 +1,17 @@
 package org.banyancove.core.peer;
 
 /**
- * What is known of a request's fingerprint after endpoints crashed.
+ * The verdict on a request's fingerprint after endpoints crashed.
  */
 public enum SuspectVerdict {
 
-	/** It ran at an endpoint that crashed. */
+	/** The request was running at an endpoint that crashed. */
 	SUSPECTED,
 
-	/** It crashed two endpoints and gets its final answer at every entry. */
+	/** The request crashed two endpoints and is refused at every entry. */
 	CONDEMNED,
 
-	/** It ran to its end, so that it was another that crashed the endpoint. */
+	/** The request completed, so that another one crashed the endpoint. */
 	CLEARED
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/package-info.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The messages that entry processes send each other.
+ * Messages between entry processes.
  */
 @NullMarked
 package org.banyancove.core.peer;
--- a/banyancove-core/src/test/java/org/banyancove/core/InvariantTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/InvariantTests.java
@@ -10,14 +10,14 @@
 class InvariantTests {
 
 	@Test
-	void checkNamesTheBrokenPromiseAndItsValues() {
+	void checkThrowsExceptionWithMessageAndValues() {
 		assertThatExceptionOfType(InvariantViolationException.class)
 			.isThrownBy(() -> Invariant.check(false, "key %s ran %s times", "a", 2))
 			.withMessage("key a ran 2 times");
 	}
 
 	@Property(tries = 20, seed = "1")
-	void checkLetsAPromiseThatHoldsPass(@ForAll int value) {
+	void checkDoesNotThrowIfConditionIsTrue(@ForAll int value) {
 		assertThatNoException().isThrownBy(() -> Invariant.check(true, "value %s", value));
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/burn/BurnTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/burn/BurnTableTests.java
@@ -29,7 +29,7 @@
 	private final BurnTable table = new BurnTable(END, (profile) -> 0.95);
 
 	@Test
-	void worksOutRatesAndBudgetBySharesOfRequests() {
+	void computesRatesAndBudgetFromSharesOfRequests() {
 		add(Duration.ofMinutes(2), 100, 50);
 		add(Duration.ofHours(5), 300, 0);
 		add(Duration.ofDays(2), 600, 0);
@@ -42,25 +42,25 @@
 			.satisfies((burn) -> assertThat(burn.budgetSpent()).isCloseTo(1, within(1e-9)));
 	}
 
-	// The endpoints of a profile fail for an hour and are then mended. While it goes on
-	// the operators must be called; ten minutes after, the hour still looks bad, but
-	// the alarm must have ended, or people learn to ignore it.
+	// The endpoints of a profile fail for an hour and then recover. The alarm must be
+	// raised during the failure. Ten minutes later the rate over one hour is still high,
+	// but the alarm must have ended, or operators learn to ignore it.
 	@Test
-	void theFastAlarmEndsSoonAfterItsCause() {
+	void fastAlarmEndsSoonAfterItsCause() {
 		add(Duration.ofMinutes(30), 100, 80);
 		add(Duration.ofMinutes(1), 100, 80);
 		assertThat(this.table.rows().getFirst().alarms()).containsExactlyInAnyOrder(BurnAlarm.FAST, BurnAlarm.SLOW);
-		BurnTable mended = new BurnTable(END.plus(Duration.ofMinutes(10)), (profile) -> 0.95);
-		mended.add(DAWN, FLEET, END.minus(Duration.ofMinutes(1)), 100, 80);
-		mended.add(DAWN, FLEET, END.plus(Duration.ofMinutes(9)), 10, 0);
-		assertThat(mended.rows().getFirst().over(BurnWindow.ONE_HOUR).rate()).isGreaterThan(14);
-		assertThat(mended.rows().getFirst().alarms()).containsExactly(BurnAlarm.SLOW);
+		BurnTable recovered = new BurnTable(END.plus(Duration.ofMinutes(10)), (profile) -> 0.95);
+		recovered.add(DAWN, FLEET, END.minus(Duration.ofMinutes(1)), 100, 80);
+		recovered.add(DAWN, FLEET, END.plus(Duration.ofMinutes(9)), 10, 0);
+		assertThat(recovered.rows().getFirst().over(BurnWindow.ONE_HOUR).rate()).isGreaterThan(14);
+		assertThat(recovered.rows().getFirst().alarms()).containsExactly(BurnAlarm.SLOW);
 	}
 
-	// A profile promises nine answers in ten, and every request fails. Its burn rate is
-	// 10 and can be no higher, so an alarm from 14.4 would never be raised.
+	// The objective of a profile is 0.9, and every request fails. Its burn rate is 10,
+	// which is the maximum, so an alarm at 14.4 would never be raised.
 	@Test
-	void theFastAlarmIsRaisedForALowObjectiveToo() {
+	void fastAlarmIsRaisedForLowObjective() {
 		BurnTable low = new BurnTable(END, (profile) -> 0.9);
 		low.add(DAWN, FLEET, END.minus(Duration.ofMinutes(30)), 100, 100);
 		low.add(DAWN, FLEET, END.minus(Duration.ofMinutes(1)), 100, 100);
@@ -68,7 +68,7 @@
 	}
 
 	@Test
-	void theCallersOwnFaultsDoNotCount() {
+	void callerErrorsDoNotCount() {
 		this.table.add(sample(false, "malformed_request"));
 		this.table.add(sample(false, "service_retired"));
 		this.table.add(sample(false, "answer_not_kept"));
@@ -84,7 +84,7 @@
 	}
 
 	@Test
-	void theHistoryEndsWithTheReportsOwnRate() {
+	void historyEndsWithRateOfReport() {
 		add(Duration.ofMinutes(90), 100, 50);
 		add(Duration.ofMinutes(1), 100, 10);
 		List<BurnPoint> history = this.table.history(new BurnKey(DAWN, null), BurnWindow.ONE_HOUR,
@@ -97,8 +97,7 @@
 	}
 
 	@Property(tries = 100, seed = "11")
-	void theAccountsTogetherMakeUpTheProfile(
-			@ForAll @Size(max = 50) List<@IntRange(max = 5000) Integer> agesInMinutes) {
+	void countsOfAccountsAddUpToProfile(@ForAll @Size(max = 50) List<@IntRange(max = 5000) Integer> agesInMinutes) {
 		BurnTable burns = new BurnTable(END, (profile) -> 0.9);
 		for (int age : agesInMinutes) {
 			burns.add(DAWN, new AccountName("a" + age % 3), END.minus(Duration.ofMinutes(age)), 2, age % 2);
--- a/banyancove-core/src/test/java/org/banyancove/core/burn/package-info.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/burn/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the arithmetic of service-level burn.
+ * Tests of the computation of burn rates.
  */
 @NullMarked
 package org.banyancove.core.burn;
