--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/AnswerWriter.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/AnswerWriter.java
@@ -39,11 +39,11 @@
 	AnswerWriter(Exchange exchange, Generation generation, FaultSwitches<EngineFault> faults) {
 		this.exchange = exchange;
 		this.generation = generation;
-		this.stall = faults.take(EngineFault.STALL_STREAMS);
-		this.cut = faults.take(EngineFault.CUT_STREAMS);
-		this.truncate = faults.take(EngineFault.TRUNCATE_STREAMS);
-		this.repeat = faults.take(EngineFault.REPEAT_PIECES);
-		this.reorder = faults.take(EngineFault.REORDER_PIECES);
+		this.stall = faults.tryTrigger(EngineFault.STALL_STREAMS);
+		this.cut = faults.tryTrigger(EngineFault.CUT_STREAMS);
+		this.truncate = faults.tryTrigger(EngineFault.TRUNCATE_STREAMS);
+		this.repeat = faults.tryTrigger(EngineFault.REPEAT_PIECES);
+		this.reorder = faults.tryTrigger(EngineFault.REORDER_PIECES);
 		this.afterTokens = faults.number(EngineFault.AFTER_TOKENS);
 	}
 
@@ -88,7 +88,7 @@
 
 	private boolean fault() throws IOException {
 		if (this.stall) {
-			this.exchange.holdForever();
+			this.exchange.hangUntilStopped();
 		}
 		if (this.cut) {
 			throw new ConnectionDropException("Switched to cut the stream");
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineStandin.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineStandin.java
@@ -105,10 +105,10 @@
 	}
 
 	private void chat(Exchange exchange) throws IOException, InterruptedException {
-		if (faults().take(EngineFault.CLOSE_AFTER_BODY)) {
+		if (faults().tryTrigger(EngineFault.CLOSE_AFTER_BODY)) {
 			throw new ConnectionDropException("Switched to close after the body");
 		}
-		if (faults().take(EngineFault.REFUSE_CHATS)) {
+		if (faults().tryTrigger(EngineFault.REFUSE_CHATS)) {
 			exchange.sendError(503, "Switched to refuse", Duration.ofSeconds(1));
 			return;
 		}
@@ -151,7 +151,7 @@
 	}
 
 	private void sendHealth(Exchange exchange) throws IOException {
-		if (faults().take(EngineFault.REFUSE_HEALTH)) {
+		if (faults().tryTrigger(EngineFault.REFUSE_HEALTH)) {
 			exchange.sendError(503, "Switched to refuse");
 			return;
 		}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/CloudService.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/CloudService.java
@@ -139,7 +139,7 @@
 	}
 
 	private void loseAnswerIfTold() throws ConnectionDropException {
-		if (this.faults.take(PlatformFault.LOSE_CLOUD_ANSWERS)) {
+		if (this.faults.tryTrigger(PlatformFault.LOSE_CLOUD_ANSWERS)) {
 			throw new ConnectionDropException("Switched to lose the answer");
 		}
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogService.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogService.java
@@ -9,7 +9,7 @@
 import org.banyancove.standins.support.ConnectionDropException;
 import org.banyancove.standins.support.Exchange;
 import org.banyancove.standins.support.FaultSwitches;
-import org.banyancove.standins.support.RateLimit;
+import org.banyancove.standins.support.RateLimiter;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -23,19 +23,19 @@
 
 	private final FaultSwitches<PlatformFault> faults;
 
-	private final RateLimit appends;
+	private final RateLimiter appends;
 
 	private final Map<String, LogStream> streams = new ConcurrentHashMap<>();
 
 	LogService(PlatformOptions options, FaultSwitches<PlatformFault> faults) {
 		this.options = options;
 		this.faults = faults;
-		this.appends = new RateLimit(options.appendsPerSecond(), options.clock());
+		this.appends = new RateLimiter(options.appendsPerSecond(), options.clock());
 	}
 
 	void serve(Exchange exchange) throws IOException, InterruptedException {
 		Thread.sleep(this.faults.number(PlatformFault.LOG_SLOW_MILLIS));
-		if (this.faults.take(PlatformFault.LOG_OUTAGE)) {
+		if (this.faults.tryTrigger(PlatformFault.LOG_OUTAGE)) {
 			exchange.sendError(503, "The log is down", Duration.ofSeconds(1));
 			return;
 		}
@@ -59,18 +59,18 @@
 			exchange.sendError(429, "Too many appends", retryAfter);
 			return;
 		}
-		if (this.faults.take(PlatformFault.LATE_APPENDS)) {
+		if (this.faults.tryTrigger(PlatformFault.LATE_APPENDS)) {
 			exchange.sendError(503, "The log is slow", Duration.ofSeconds(1));
 			Thread.sleep(this.faults.number(PlatformFault.LATE_APPEND_MILLIS));
 			stream.append(records);
 			return;
 		}
 		LogStream.AppendAnswer answer = stream.append(records);
-		if (this.faults.take(PlatformFault.LOSE_APPEND_ANSWERS)) {
+		if (this.faults.tryTrigger(PlatformFault.LOSE_APPEND_ANSWERS)) {
 			throw new ConnectionDropException("Switched to lose the answer");
 		}
-		if (this.faults.take(PlatformFault.HANG_APPEND_ANSWERS)) {
-			exchange.holdForever();
+		if (this.faults.tryTrigger(PlatformFault.HANG_APPEND_ANSWERS)) {
+			exchange.hangUntilStopped();
 		}
 		exchange.send(200, answer);
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformStandin.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformStandin.java
@@ -11,7 +11,7 @@
 
 import org.banyancove.standins.support.AbstractStandin;
 import org.banyancove.standins.support.Exchange;
-import org.banyancove.standins.support.RateLimit;
+import org.banyancove.standins.support.RateLimiter;
 import org.banyancove.standins.support.StandinServer;
 
 /**
@@ -30,7 +30,7 @@
 
 	private final CloudService cloud;
 
-	private final RateLimit weightLoads;
+	private final RateLimiter weightLoads;
 
 	private final Map<String, StandinServer<PlatformFault>> listeners = new LinkedHashMap<>();
 
@@ -44,10 +44,10 @@
 		this.log = new LogService(options, faults());
 		this.directory = new VmDirectory(options);
 		this.cloud = new CloudService(options, faults(), runs(), this.directory);
-		this.weightLoads = new RateLimit(options.weightLoadsPerSecond(), options.clock());
+		this.weightLoads = new RateLimiter(options.weightLoadsPerSecond(), options.clock());
 		for (String listener : options.listeners()) {
 			InetSocketAddress anyPort = new InetSocketAddress(options.address().getAddress(), 0);
-			this.listeners.put(listener, anotherServer(anyPort, () -> isSilent(listener)));
+			this.listeners.put(listener, createServer(anyPort, () -> isSilent(listener)));
 		}
 	}
 
@@ -109,7 +109,7 @@
 	protected void serve(Exchange exchange) throws IOException, InterruptedException {
 		String area = exchange.segment(0);
 		boolean spared = area.equals("standin") || area.equals("log");
-		if (!spared && faults().take(PlatformFault.PLATFORM_OUTAGE)) {
+		if (!spared && faults().tryTrigger(PlatformFault.PLATFORM_OUTAGE)) {
 			exchange.sendError(503, "The platform is down", Duration.ofSeconds(1));
 			return;
 		}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/service/ServiceFault.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/service/ServiceFault.java
@@ -1,38 +1,38 @@
 package org.banyancove.standins.service;
 
 /**
- * The ways in which a plain service misbehaves on command. Counted switches take a number
- * of requests, or {@code true} for all.
+ * Faults that can be injected into a plain service. A counted switch is set to a number
+ * of requests, or to {@code true} for all requests.
  */
 public enum ServiceFault {
 
 	/**
-	 * Counted: runs the call and never answers.
+	 * Counted: runs the call and never responds.
 	 */
 	RUN_AND_HANG,
 
 	/**
-	 * Counted: runs the call, then closes the connection without an answer.
+	 * Counted: runs the call, then closes the connection without a response.
 	 */
 	RUN_AND_CLOSE,
 
 	/**
-	 * Counted: never runs and never answers.
+	 * Counted: neither runs the call nor responds.
 	 */
 	HANG,
 
 	/**
-	 * Counted: closes the connection after reading the body, without a run.
+	 * Counted: closes the connection after reading the body, without running the call.
 	 */
 	CLOSE,
 
 	/**
-	 * A status to answer with, without a run.
+	 * The HTTP status to respond with, without running the call.
 	 */
 	ERROR_STATUS,
 
 	/**
-	 * Milliseconds by which each call takes longer.
+	 * Additional latency of each call, in milliseconds.
 	 */
 	SLOW_MILLIS
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/service/ServiceOptions.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/service/ServiceOptions.java
@@ -10,12 +10,12 @@
  * @param address the address to listen on
  * @param id the endpoint's identifier
  * @param service the service's name
- * @param latency the time each call takes
+ * @param latency the duration of each call
  */
 public record ServiceOptions(InetSocketAddress address, String id, String service, Duration latency) {
 
 	/**
-	 * Returns options for a quick service on any free port of the loopback address.
+	 * Returns options for a service with 1 ms latency on an ephemeral loopback port.
 	 * @return the options
 	 */
 	public static ServiceOptions defaults() {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/service/ServiceStandin.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/service/ServiceStandin.java
@@ -8,8 +8,8 @@
 import org.banyancove.standins.support.Exchange;
 
 /**
- * A plain service that counts its runs by idempotency key and body, and refuses no
- * repeat: whether the system repeats a call is what its counts show.
+ * A plain service that counts its runs by idempotency key and body. It runs duplicate
+ * calls too, so that its counts show whether the system repeats a call.
  */
 public final class ServiceStandin extends AbstractStandin<ServiceFault> {
 
@@ -17,7 +17,7 @@
 
 	/**
 	 * Creates the service and binds its address.
-	 * @param options its options
+	 * @param options the options
 	 */
 	public ServiceStandin(ServiceOptions options) {
 		super(options.address(), ServiceFault.class);
@@ -41,19 +41,19 @@
 			exchange.sendError(status, "Switched to fail");
 			return;
 		}
-		if (faults().take(ServiceFault.HANG)) {
-			exchange.holdForever();
+		if (faults().tryTrigger(ServiceFault.HANG)) {
+			exchange.hangUntilStopped();
 		}
-		if (faults().take(ServiceFault.CLOSE)) {
-			throw new ConnectionDropException("Switched to close before the run");
+		if (faults().tryTrigger(ServiceFault.CLOSE)) {
+			throw new ConnectionDropException("Fault CLOSE: connection closed before the call runs");
 		}
 		Thread.sleep(this.options.latency().plus(Duration.ofMillis(faults().number(ServiceFault.SLOW_MILLIS))));
 		int count = runs().count(exchange.header("Idempotency-Key", ""), exchange.body());
-		if (faults().take(ServiceFault.RUN_AND_HANG)) {
-			exchange.holdForever();
+		if (faults().tryTrigger(ServiceFault.RUN_AND_HANG)) {
+			exchange.hangUntilStopped();
 		}
-		if (faults().take(ServiceFault.RUN_AND_CLOSE)) {
-			throw new ConnectionDropException("Switched to close after the run");
+		if (faults().tryTrigger(ServiceFault.RUN_AND_CLOSE)) {
+			throw new ConnectionDropException("Fault RUN_AND_CLOSE: connection closed after the call has run");
 		}
 		exchange.send(200, new Answer(this.options.service(), this.options.id(), exchange.path(), count));
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/service/package-info.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/service/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a plain service that counts what it ran.
+ * Stand-in for a plain service, which counts its runs.
  */
 @NullMarked
 package org.banyancove.standins.service;
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/AbstractStandin.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/AbstractStandin.java
@@ -5,10 +5,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What every stand-in is: a server with switches to misbehave and counts of what ran. It
- * can be embedded in a test's process as well as run in its own.
+ * Base class of the stand-ins: an HTTP server with fault switches and run counts. It can
+ * be embedded in a test's process or run in a process of its own.
  *
- * @param <F> the enum of the stand-in's faults
+ * @param <F> the enum of the faults that can be injected
  */
 public abstract class AbstractStandin<F extends Enum<F>> implements AutoCloseable {
 
@@ -20,16 +20,16 @@
 
 	/**
 	 * Creates the stand-in and binds its address.
-	 * @param address the loopback address, with port zero for any free port
-	 * @param faultType the enum of the stand-in's faults
+	 * @param address the loopback address, with port zero for an ephemeral port
+	 * @param faultType the enum of the faults that can be injected
 	 */
 	protected AbstractStandin(InetSocketAddress address, Class<F> faultType) {
 		this.faults = new FaultSwitches<>(faultType);
-		this.server = anotherServer(address, () -> false);
+		this.server = createServer(address, () -> false);
 	}
 
 	/**
-	 * Starts to answer.
+	 * Starts to serve requests.
 	 * @return this stand-in
 	 */
 	public AbstractStandin<F> start() {
@@ -38,15 +38,15 @@
 	}
 
 	/**
-	 * Returns the address in force.
-	 * @return the address, with the port that was bound
+	 * Returns the bound address.
+	 * @return the address, including the port
 	 */
 	public final InetSocketAddress address() {
 		return this.server.address();
 	}
 
 	/**
-	 * Returns the switches to misbehave.
+	 * Returns the fault switches.
 	 * @return the switches
 	 */
 	public final FaultSwitches<F> faults() {
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * Returns the counts of what ran.
+	 * Returns the run counts.
 	 * @return the counts
 	 */
 	public final RunCounter runs() {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Silences all connections that have carried a request so far.
+	 * Stops responding on all connections that have carried a request so far.
 	 */
 	public final void silenceOpenConnections() {
 		this.server.silenceOpenConnections();
@@ -74,28 +74,29 @@
 	}
 
 	/**
-	 * Answers one request.
-	 * @param exchange the request and its answer
-	 * @throws IOException if the caller has gone, or the connection is to be dropped
-	 * @throws InterruptedException if the stand-in stops
+	 * Handles one request.
+	 * @param exchange the request and its response
+	 * @throws IOException if the client has disconnected or the connection must be
+	 * dropped
+	 * @throws InterruptedException if the stand-in is stopped
 	 */
 	protected abstract void serve(Exchange exchange) throws IOException, InterruptedException;
 
 	/**
-	 * Runs work beside the requests, until the stand-in is closed.
-	 * @param work the work
+	 * Runs a background task, which is interrupted when the stand-in is closed.
+	 * @param task the task
 	 */
-	protected final void execute(Runnable work) {
-		this.server.execute(work);
+	protected final void execute(Runnable task) {
+		this.server.execute(task);
 	}
 
 	/**
-	 * Creates one more server with the same answers, faults and counts.
-	 * @param address the loopback address, with port zero for any free port
-	 * @param silent whether the server says nothing at the moment
+	 * Creates a server that shares this stand-in's handler, faults and counts.
+	 * @param address the loopback address, with port zero for an ephemeral port
+	 * @param silent whether the server currently does not respond
 	 * @return the server, not yet started
 	 */
-	protected final StandinServer<F> anotherServer(InetSocketAddress address, BooleanSupplier silent) {
+	protected final StandinServer<F> createServer(InetSocketAddress address, BooleanSupplier silent) {
 		return new StandinServer<>(address, this.faults, this.runs, silent, this::serve);
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/Digests.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/Digests.java
@@ -5,7 +5,7 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 digests in hexadecimal digits.
+ * Computes hexadecimal SHA-256 digests.
  */
 public final class Digests {
 
@@ -13,10 +13,10 @@
 	}
 
 	/**
-	 * Returns the first digits of the SHA-256 of some bytes.
-	 * @param bytes the bytes
-	 * @param digits how many hexadecimal digits
-	 * @return the digits
+	 * Returns a prefix of the hexadecimal SHA-256 digest.
+	 * @param bytes the bytes to digest
+	 * @param digits the number of hexadecimal digits, at most 64
+	 * @return the first digits
 	 */
 	public static String hex(byte[] bytes, int digits) {
 		try {
@@ -24,7 +24,7 @@
 			return HexFormat.of().formatHex(digest).substring(0, digits);
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("Every JDK has SHA-256", ex);
+			throw new IllegalStateException("Every Java platform must provide SHA-256", ex);
 		}
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/Exchange.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/Exchange.java
@@ -16,7 +16,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request and its answer, with the JSON and event forms that the stand-ins speak.
+ * One HTTP request and its response, with support for JSON and server-sent events.
  */
 public final class Exchange {
 
@@ -28,14 +28,14 @@
 
 	private final Map<String, String> query;
 
-	private @Nullable OutputStream events;
+	private @Nullable OutputStream eventStream;
 
 	Exchange(HttpExchange exchange, BooleanSupplier silenced) throws IOException {
 		this.exchange = exchange;
 		this.silenced = silenced;
 		this.body = exchange.getRequestBody().readAllBytes();
-		String text = exchange.getRequestURI().getRawQuery();
-		this.query = Stream.of((text != null) ? text.split("&") : new String[0])
+		String rawQuery = exchange.getRequestURI().getRawQuery();
+		this.query = Stream.of((rawQuery != null) ? rawQuery.split("&") : new String[0])
 			.map((pair) -> pair.split("=", 2))
 			.filter((pair) -> pair.length == 2)
 			.collect(Collectors.toMap((pair) -> pair[0], (pair) -> URLDecoder.decode(pair[1], StandardCharsets.UTF_8),
@@ -71,37 +71,37 @@
 	/**
 	 * Returns a header.
 	 * @param name the header's name
-	 * @param absent what to return if it is absent
+	 * @param defaultValue the value to return if it is absent
 	 * @return the value
 	 */
-	public String header(String name, String absent) {
+	public String header(String name, String defaultValue) {
 		String value = this.exchange.getRequestHeaders().getFirst(name);
-		return (value != null) ? value : absent;
+		return (value != null) ? value : defaultValue;
 	}
 
 	/**
 	 * Returns a query parameter.
 	 * @param name the parameter's name
-	 * @param absent what to return if it is absent
+	 * @param defaultValue the value to return if it is absent
 	 * @return the value
 	 */
-	public String query(String name, String absent) {
-		return this.query.getOrDefault(name, absent);
+	public String query(String name, String defaultValue) {
+		return this.query.getOrDefault(name, defaultValue);
 	}
 
 	/**
-	 * Returns a query parameter that is a number.
+	 * Returns a query parameter as a number.
 	 * @param name the parameter's name
-	 * @param absent what to return if it is absent
+	 * @param defaultValue the value to return if it is absent
 	 * @return the value
 	 */
-	public long query(String name, long absent) {
-		return Long.parseLong(query(name, Long.toString(absent)));
+	public long query(String name, long defaultValue) {
+		return Long.parseLong(query(name, Long.toString(defaultValue)));
 	}
 
 	/**
-	 * Returns the whole body.
-	 * @return the bytes
+	 * Returns the request body.
+	 * @return a copy of the bytes
 	 */
 	public byte[] body() {
 		return this.body.clone();
@@ -109,10 +109,10 @@
 
 	/**
 	 * Reads the body as JSON.
-	 * @param <T> the type to read
+	 * @param <T> the type of the value
 	 * @param type the type to read
 	 * @return the value
-	 * @throws IOException if the body is no such JSON
+	 * @throws IOException if the body is not valid JSON of that type
 	 */
 	public <T> T json(Class<T> type) throws IOException {
 		return Json.MAPPER.readValue(this.body, type);
@@ -121,31 +121,31 @@
 	/**
 	 * Reads the body as a JSON tree.
 	 * @return the tree
-	 * @throws IOException if the body is no JSON
+	 * @throws IOException if the body is not valid JSON
 	 */
 	public JsonNode json() throws IOException {
 		return Json.MAPPER.readTree(this.body);
 	}
 
 	/**
-	 * Answers with a value as JSON.
-	 * @param status the status
+	 * Sends a value as a JSON response.
+	 * @param status the HTTP status
 	 * @param value the value
-	 * @throws IOException if the caller has gone
+	 * @throws IOException if the client has disconnected
 	 */
 	public void send(int status, Object value) throws IOException {
 		send(status, "application/json", Json.MAPPER.writeValueAsBytes(value));
 	}
 
 	/**
-	 * Answers with bytes.
-	 * @param status the status
-	 * @param contentType their content type
-	 * @param bytes the bytes
-	 * @throws IOException if the caller has gone
+	 * Sends a response.
+	 * @param status the HTTP status
+	 * @param contentType the content type
+	 * @param bytes the response body
+	 * @throws IOException if the client has disconnected
 	 */
 	public void send(int status, String contentType, byte[] bytes) throws IOException {
-		holdIfSilenced();
+		hangIfSilenced();
 		this.exchange.getResponseHeaders().set("Content-Type", contentType);
 		this.exchange.sendResponseHeaders(status, (bytes.length > 0) ? bytes.length : -1);
 		this.exchange.getResponseBody().write(bytes);
@@ -153,21 +153,21 @@
 	}
 
 	/**
-	 * Answers with an error and no time to come back.
-	 * @param status the status
-	 * @param message what is wrong
-	 * @throws IOException if the caller has gone
+	 * Sends an error response without a retry delay.
+	 * @param status the HTTP status
+	 * @param message the error message
+	 * @throws IOException if the client has disconnected
 	 */
 	public void sendError(int status, String message) throws IOException {
 		send(status, new ErrorBody(new ErrorBody.Detail(message)));
 	}
 
 	/**
-	 * Answers with an error and a time to come back.
-	 * @param status the status
-	 * @param message what is wrong
-	 * @param retryAfter when to come back, rounded up to whole seconds
-	 * @throws IOException if the caller has gone
+	 * Sends an error response with a {@code Retry-After} header.
+	 * @param status the HTTP status
+	 * @param message the error message
+	 * @param retryAfter the retry delay, rounded up to seconds, at least one
+	 * @throws IOException if the client has disconnected
 	 */
 	public void sendError(int status, String message, Duration retryAfter) throws IOException {
 		long seconds = Math.max(1, retryAfter.plusMillis(999).toSeconds());
@@ -176,57 +176,58 @@
 	}
 
 	/**
-	 * Writes one server-sent event at once; the first one starts the answer.
+	 * Sends and flushes one server-sent event. The first event also sends the response
+	 * headers.
 	 * @param id the event's identifier, or {@code null}
 	 * @param data the event's data, without line breaks
-	 * @throws IOException if the caller has gone
+	 * @throws IOException if the client has disconnected
 	 */
 	public void sendEvent(@Nullable String id, String data) throws IOException {
-		holdIfSilenced();
-		OutputStream stream = events();
+		hangIfSilenced();
+		OutputStream stream = openEventStream();
 		String event = ((id != null) ? "id: " + id + "\n" : "") + "data: " + data + "\n\n";
 		stream.write(event.getBytes(StandardCharsets.UTF_8));
 		stream.flush();
 	}
 
 	/**
-	 * Ends a stream of events, as if the answer were whole.
-	 * @throws IOException if the caller has gone
+	 * Ends the event stream as a complete response.
+	 * @throws IOException if the client has disconnected
 	 */
 	public void endEvents() throws IOException {
-		// Closed before it was started, the exchange would drop the connection instead.
-		events();
+		// Without response headers, closing the exchange would drop the connection.
+		openEventStream();
 		this.exchange.close();
 	}
 
 	/**
-	 * Keeps the connection open and never writes to it again: what the other end of a
-	 * connection that has silently gone sees.
-	 * @throws ConnectionDropException when the stand-in stops
+	 * Blocks with the connection open and nothing written to it. To the client this looks
+	 * like a connection that was lost without being closed.
+	 * @throws ConnectionDropException when the stand-in is stopped
 	 */
-	public void holdForever() throws ConnectionDropException {
+	public void hangUntilStopped() throws ConnectionDropException {
 		try {
 			new CountDownLatch(1).await();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new ConnectionDropException("The stand-in stops");
+			throw new ConnectionDropException("The stand-in is stopping");
 		}
 	}
 
-	void holdIfSilenced() throws ConnectionDropException {
+	void hangIfSilenced() throws ConnectionDropException {
 		if (this.silenced.getAsBoolean()) {
-			holdForever();
+			hangUntilStopped();
 		}
 	}
 
-	private OutputStream events() throws IOException {
-		OutputStream stream = this.events;
+	private OutputStream openEventStream() throws IOException {
+		OutputStream stream = this.eventStream;
 		if (stream == null) {
 			this.exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
 			this.exchange.sendResponseHeaders(200, 0);
 			stream = this.exchange.getResponseBody();
-			this.events = stream;
+			this.eventStream = stream;
 		}
 		return stream;
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/FaultSwitches.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/FaultSwitches.java
@@ -13,12 +13,13 @@
 import com.fasterxml.jackson.databind.node.TextNode;
 
 /**
- * The switches that make a stand-in misbehave, one for each constant of an enum.
+ * Fault injection switches of a stand-in, one for each constant of an enum.
  * <p>
- * In JSON a switch's name is its constant's in camel case. A switch that is counted down
- * takes a number of times, or {@code true} for always. Safe for many threads.
+ * The JSON name of a switch is the constant's name in camel case. A counted switch is set
+ * to the number of times that the fault occurs, or to {@code true} for every time. This
+ * class is thread-safe.
  *
- * @param <F> the enum of the stand-in's faults
+ * @param <F> the enum of the faults that can be injected
  */
 public final class FaultSwitches<F extends Enum<F>> {
 
@@ -27,8 +28,8 @@
 	private final Map<F, JsonNode> values;
 
 	/**
-	 * Creates the switches, all off.
-	 * @param type the enum of the stand-in's faults
+	 * Creates the switches, all disabled.
+	 * @param type the enum of the faults that can be injected
 	 */
 	public FaultSwitches(Class<F> type) {
 		this.faults = type.getEnumConstants();
@@ -36,18 +37,18 @@
 	}
 
 	/**
-	 * Sets a switch to a number: of times, of milliseconds, or a status.
+	 * Sets a switch to a number: a count, milliseconds or an HTTP status.
 	 * @param fault the switch
-	 * @param value the number; zero switches it off
+	 * @param value the number; zero disables the switch
 	 */
 	public void set(F fault, long value) {
 		set(fault, LongNode.valueOf(value));
 	}
 
 	/**
-	 * Sets a switch on for good, or off.
+	 * Enables a switch without a limit, or disables it.
 	 * @param fault the switch
-	 * @param value whether it is on
+	 * @param value whether the switch is enabled
 	 */
 	public void set(F fault, boolean value) {
 		set(fault, BooleanNode.valueOf(value));
@@ -56,18 +57,18 @@
 	/**
 	 * Sets a switch to a text.
 	 * @param fault the switch
-	 * @param value the text; empty switches it off
+	 * @param value the text; empty disables the switch
 	 */
 	public void set(F fault, String value) {
 		set(fault, TextNode.valueOf(value));
 	}
 
 	/**
-	 * Returns whether a fault strikes now, and counts it down if it is counted.
+	 * Returns whether a fault occurs now, and decrements the count of a counted switch.
 	 * @param fault the switch
-	 * @return whether it strikes
+	 * @return whether the fault occurs
 	 */
-	public synchronized boolean take(F fault) {
+	public synchronized boolean tryTrigger(F fault) {
 		JsonNode value = value(fault);
 		if (value.isIntegralNumber() && value.longValue() > 0) {
 			this.values.put(fault, LongNode.valueOf(value.longValue() - 1));
@@ -79,7 +80,7 @@
 	/**
 	 * Returns a switch's number.
 	 * @param fault the switch
-	 * @return the number, zero if it is off
+	 * @return the number, zero if the switch is disabled
 	 */
 	public synchronized long number(F fault) {
 		return value(fault).asLong();
@@ -88,23 +89,24 @@
 	/**
 	 * Returns a switch's text.
 	 * @param fault the switch
-	 * @return the text, empty if it is off
+	 * @return the text, empty if the switch is disabled
 	 */
 	public synchronized String text(F fault) {
-		// A switch that is off holds a number or false. Read as text, "0" would be a word
-		// that strikes wherever a prompt happens to count from zero.
+		// A disabled switch holds a number or false. As text, its "0" would trigger the
+		// fault for every prompt that contains the word 0.
 		JsonNode value = value(fault);
 		return value.isTextual() ? value.asText() : "";
 	}
 
 	/**
-	 * Takes in switches from a JSON object; those it does not name stay as they are.
+	 * Applies switches from a JSON object. Switches that it does not name are unchanged.
 	 * @param switches the JSON object
-	 * @throws IllegalArgumentException if it names an unknown switch; none is changed
+	 * @throws IllegalArgumentException if it names an unknown switch; no switch is
+	 * changed
 	 */
 	public synchronized void update(JsonNode switches) {
 		Map<F, JsonNode> changed = new EnumMap<>(this.values);
-		switches.properties().forEach((entry) -> changed.put(named(entry.getKey()), entry.getValue()));
+		switches.properties().forEach((entry) -> changed.put(findByJsonName(entry.getKey()), entry.getValue()));
 		this.values.putAll(changed);
 	}
 
@@ -128,7 +130,7 @@
 		return this.values.getOrDefault(fault, LongNode.valueOf(0));
 	}
 
-	private F named(String jsonName) {
+	private F findByJsonName(String jsonName) {
 		return Arrays.stream(this.faults)
 			.filter((fault) -> jsonName(fault).equals(jsonName))
 			.findFirst()
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/Json.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/Json.java
@@ -8,13 +8,12 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * JSON as the stand-ins read and write it: unknown properties are passed over, absent
- * ones are left out.
+ * JSON mappers of the stand-ins. They ignore unknown properties and omit null ones.
  */
 public final class Json {
 
 	/**
-	 * Reads and writes property names as they stand.
+	 * Mapper that keeps property names unchanged.
 	 */
 	public static final ObjectMapper MAPPER = JsonMapper.builder()
 		.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -22,7 +21,7 @@
 		.build();
 
 	/**
-	 * Reads and writes property names in snake case, as the chat form has them.
+	 * Mapper with property names in snake case, as the chat API requires.
 	 */
 	public static final ObjectMapper CHAT_MAPPER = JsonMapper.builder()
 		.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -34,9 +33,9 @@
 	}
 
 	/**
-	 * Writes a value in the chat form.
+	 * Writes a value as JSON of the chat API.
 	 * @param value the value
-	 * @return its JSON, on one line
+	 * @return the JSON, on one line
 	 */
 	public static String writeChat(Object value) {
 		try {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/LaggingView.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/LaggingView.java
@@ -7,7 +7,7 @@
 import java.util.Deque;
 
 /**
- * A value that readers see only some time after it was set. Safe for many threads.
+ * A value that becomes visible to readers after a fixed lag. This class is thread-safe.
  *
  * @param <T> the value's type, immutable
  */
@@ -23,9 +23,9 @@
 
 	/**
 	 * Creates the view.
-	 * @param lag the time until a value is seen
+	 * @param lag the time until a value becomes visible
 	 * @param clock the clock
-	 * @param initial the value seen at first
+	 * @param initial the initially visible value
 	 */
 	public LaggingView(Duration lag, InstantSource clock, T initial) {
 		this.lag = lag;
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Sets the value, which is seen after the lag.
+	 * Sets the value, which becomes visible after the lag.
 	 * @param value the value
 	 */
 	public synchronized void set(T value) {
@@ -43,8 +43,8 @@
 	}
 
 	/**
-	 * Returns the newest value that is as old as the lag.
-	 * @return the value and the time at which it was the truth
+	 * Returns the newest value that is at least as old as the lag.
+	 * @return the value and the time as of which it is current
 	 */
 	public synchronized Stamped<T> get() {
 		Instant horizon = this.clock.instant().minus(this.lag);
@@ -59,10 +59,10 @@
 	}
 
 	/**
-	 * A value and a time.
+	 * A value with the time as of which it is current.
 	 *
 	 * @param <T> the value's type
-	 * @param at when it was the truth
+	 * @param at the time as of which the value is current
 	 * @param value the value
 	 */
 	public record Stamped<T>(Instant at, T value) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/RateLimit.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/RateLimiter.java
@@ -5,10 +5,10 @@
 import java.time.InstantSource;
 
 /**
- * A rate limit that lets a tenth of a second's worth through at once. Safe for many
- * threads.
+ * A token bucket rate limiter with a burst of a tenth of a second, but at least one
+ * permit. This class is thread-safe.
  */
-public final class RateLimit {
+public final class RateLimiter {
 
 	private static final double BURST_SECONDS = 0.1;
 
@@ -20,29 +20,29 @@
 
 	private double available;
 
-	private Instant asOf;
+	private Instant refilledAt;
 
 	/**
-	 * Creates the limit.
-	 * @param perSecond how many pass in a second
+	 * Creates the rate limiter.
+	 * @param perSecond the permits per second
 	 * @param clock the clock
 	 */
-	public RateLimit(double perSecond, InstantSource clock) {
+	public RateLimiter(double perSecond, InstantSource clock) {
 		this.perSecond = perSecond;
 		this.clock = clock;
 		this.available = burst();
-		this.asOf = clock.instant();
+		this.refilledAt = clock.instant();
 	}
 
 	/**
-	 * Lets one through, or says when to come back.
-	 * @return zero if one may pass now, else the time until one may
+	 * Acquires a permit if one is available; does not block.
+	 * @return zero if a permit was acquired, otherwise the time until one is available
 	 */
 	public synchronized Duration acquire() {
 		Instant now = this.clock.instant();
-		double elapsed = Duration.between(this.asOf, now).toNanos() / NANOS_PER_SECOND;
+		double elapsed = Duration.between(this.refilledAt, now).toNanos() / NANOS_PER_SECOND;
 		this.available = Math.min(burst(), this.available + elapsed * this.perSecond);
-		this.asOf = now;
+		this.refilledAt = now;
 		if (this.available >= 1) {
 			this.available -= 1;
 			return Duration.ZERO;
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/RunCounter.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/RunCounter.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Counts what a stand-in ran, by key and digest of the body: the truth that a test
- * compares the system's answers with.
+ * Counts the runs of a stand-in by key and body digest. Tests compare the system's
+ * responses with these counts.
  */
 public final class RunCounter {
 
@@ -19,14 +19,14 @@
 	 * Counts a run.
 	 * @param key the idempotency key or request identifier, empty if there was none
 	 * @param body the body
-	 * @return how often this key and body ran, this run included
+	 * @return the number of runs of this key and body, including this one
 	 */
 	public int count(String key, byte[] body) {
 		return this.counts.merge(new RunKey(key, Digests.hex(body, DIGEST_LENGTH)), 1, Integer::sum);
 	}
 
 	/**
-	 * Returns how often a key ran, whatever its body.
+	 * Returns the number of runs of a key with any body.
 	 * @param key the key
 	 * @return the number of runs
 	 */
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Returns all that ran.
-	 * @return the runs, in no order
+	 * Returns the runs of all keys.
+	 * @return the runs, in no particular order
 	 */
 	public List<Run> runs() {
 		return this.counts.entrySet()
@@ -46,7 +46,7 @@
 	}
 
 	/**
-	 * Returns the digest that a body is counted under.
+	 * Returns the digest by which a body is counted.
 	 * @param body the body's text
 	 * @return the digest
 	 */
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * How often one key and body ran.
+	 * The number of runs of one key and body.
 	 *
 	 * @param key the key, empty if there was none
 	 * @param digest the first 16 hexadecimal digits of the body's SHA-256
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/StandinServer.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/StandinServer.java
@@ -20,17 +20,17 @@
 import org.banyancove.program.HttpServerDefaults;
 
 /**
- * The HTTP server under each stand-in, with the calls that only tests use:
+ * HTTP server of a stand-in, with the control endpoints for tests:
  * {@code /standin/faults} and {@code /standin/runs}.
  * <p>
- * The switch {@code silenceOpenConnections}, which every stand-in has, makes all
- * connections that have carried a request so far go silent, while new ones work.
+ * The switch {@code silenceOpenConnections}, which every stand-in has, stops responses on
+ * all connections that have carried a request so far. New connections work.
  *
- * @param <F> the enum of the stand-in's faults
+ * @param <F> the enum of the faults that can be injected
  */
 public final class StandinServer<F extends Enum<F>> implements AutoCloseable {
 
-	private static final String SILENCE = "silenceOpenConnections";
+	private static final String SILENCE_SWITCH = "silenceOpenConnections";
 
 	private final FaultSwitches<F> faults;
 
@@ -44,18 +44,18 @@
 
 	private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
 
-	private final Set<InetSocketAddress> seen = ConcurrentHashMap.newKeySet();
+	private final Set<InetSocketAddress> usedConnections = ConcurrentHashMap.newKeySet();
 
-	private final Set<InetSocketAddress> silenced = ConcurrentHashMap.newKeySet();
+	private final Set<InetSocketAddress> silencedConnections = ConcurrentHashMap.newKeySet();
 
 	/**
-	 * Creates the server and binds it; it answers nothing before {@link #start()}.
-	 * @param address the loopback address, with port zero for any free port
-	 * @param faults the stand-in's switches
+	 * Creates and binds the server, which serves requests after {@link #start()}.
+	 * @param address the loopback address, with port zero for an ephemeral port
+	 * @param faults the stand-in's fault switches
 	 * @param runs the stand-in's run counts
-	 * @param silent whether the server says nothing at the moment
-	 * @param handler answers everything but the calls for tests
-	 * @throws BanyancoveException if the address is taken
+	 * @param silent whether the server currently does not respond
+	 * @param handler handles all requests except those to the control endpoints
+	 * @throws BanyancoveException if the address is in use
 	 */
 	public StandinServer(InetSocketAddress address, FaultSwitches<F> faults, RunCounter runs, BooleanSupplier silent,
 			Handler handler) {
@@ -75,33 +75,33 @@
 	}
 
 	/**
-	 * Starts to answer.
+	 * Starts to serve requests.
 	 */
 	public void start() {
 		this.server.start();
 	}
 
 	/**
-	 * Returns the address in force.
-	 * @return the address, with the port that was bound
+	 * Returns the bound address.
+	 * @return the address, including the port
 	 */
 	public InetSocketAddress address() {
 		return this.server.getAddress();
 	}
 
 	/**
-	 * Runs work of the stand-in beside the requests, until the server is closed.
-	 * @param work the work
+	 * Runs a background task, which is interrupted when the server is closed.
+	 * @param task the task
 	 */
-	public void execute(Runnable work) {
-		this.executor.execute(work);
+	public void execute(Runnable task) {
+		this.executor.execute(task);
 	}
 
 	/**
-	 * Silences all connections that have carried a request so far.
+	 * Stops responding on all connections that have carried a request so far.
 	 */
 	public void silenceOpenConnections() {
-		this.silenced.addAll(this.seen);
+		this.silencedConnections.addAll(this.usedConnections);
 	}
 
 	@Override
@@ -112,20 +112,20 @@
 
 	private void serve(HttpExchange httpExchange) throws IOException {
 		InetSocketAddress remote = httpExchange.getRemoteAddress();
-		this.seen.add(remote);
-		// An exchange that is held keeps its connection for good, so that whatever comes
-		// from the same port afterwards is a new connection, which is to work.
+		this.usedConnections.add(remote);
+		// A hanging exchange occupies its connection until the server stops. A later
+		// request from the same remote port uses a new connection, which must work.
 		Exchange exchange = new Exchange(httpExchange,
-				() -> this.silent.getAsBoolean() || this.silenced.remove(remote));
+				() -> this.silent.getAsBoolean() || this.silencedConnections.remove(remote));
 		try {
 			switch (exchange.route()) {
-				case "GET /standin/faults" -> exchange.send(200, this.faults.toJson().put(SILENCE, false));
-				case "POST /standin/faults" -> switchFaults(exchange, remote);
+				case "GET /standin/faults" -> exchange.send(200, this.faults.toJson().put(SILENCE_SWITCH, false));
+				case "POST /standin/faults" -> updateFaults(exchange, remote);
 				case "GET /standin/runs" -> exchange.send(200, Map.of("runs", this.runs.runs()));
 				default -> {
-					// What is sent on a connection that has gone never arrives, so it
-					// has no effect; what had arrived before loses its answer alone.
-					exchange.holdIfSilenced();
+					// A request on a silenced connection is not run, as if it had never
+					// arrived. One that arrived earlier runs but loses its response.
+					exchange.hangIfSilenced();
 					this.handler.handle(exchange);
 				}
 			}
@@ -135,36 +135,38 @@
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new ConnectionDropException("The stand-in stops");
+			throw new ConnectionDropException("The stand-in is stopping");
 		}
 	}
 
-	private void switchFaults(Exchange exchange, InetSocketAddress remote) throws IOException {
+	private void updateFaults(Exchange exchange, InetSocketAddress remote) throws IOException {
 		JsonNode switches = exchange.json();
 		if (!(switches instanceof ObjectNode object)) {
 			exchange.sendError(400, "Fault switches are one JSON object");
 			return;
 		}
-		JsonNode silence = object.remove(List.of(SILENCE)).path(SILENCE);
+		JsonNode silence = object.remove(List.of(SILENCE_SWITCH)).path(SILENCE_SWITCH);
 		this.faults.update(object);
 		if (silence.asBoolean()) {
 			silenceOpenConnections();
-			this.silenced.remove(remote);
+			this.silencedConnections.remove(remote);
 		}
 		exchange.send(200, this.faults.toJson());
 	}
 
 	/**
-	 * Answers one request.
+	 * Handles the requests to a stand-in.
 	 */
 	@FunctionalInterface
 	public interface Handler {
 
 		/**
-		 * Answers a request, or throws {@link ConnectionDropException} not to.
-		 * @param exchange the request and its answer
-		 * @throws IOException if the caller has gone, or the connection is to be dropped
-		 * @throws InterruptedException if the stand-in stops
+		 * Handles a request, or throws {@link ConnectionDropException} to close the
+		 * connection without a complete response.
+		 * @param exchange the request and its response
+		 * @throws IOException if the client has disconnected or the connection must be
+		 * dropped
+		 * @throws InterruptedException if the stand-in is stopped
 		 */
 		void handle(Exchange exchange) throws IOException, InterruptedException;
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/support/package-info.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/support/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the stand-ins share: the HTTP server, fault switches, run counts, rate limits.
+ * Infrastructure of the stand-ins: HTTP server, fault switches, run counts, rate limiter.
  */
 @NullMarked
 package org.banyancove.standins.support;
--- a/banyancove-standins/src/test/java/org/banyancove/standins/engine/EngineStandinTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/engine/EngineStandinTests.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.banyancove.standins.support.Caller;
+import org.banyancove.standins.support.StandinClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -22,7 +22,7 @@
 
 	private final EngineStandin engine = new EngineStandin(EngineOptions.defaults()).start();
 
-	private final Caller caller = new Caller(this.engine.address());
+	private final StandinClient client = new StandinClient(this.engine.address());
 
 	@AfterEach
 	void close() {
@@ -31,16 +31,16 @@
 
 	@Test
 	void answersWhole() throws Exception {
-		JsonNode answer = this.caller.json("POST", "/v1/chat/completions", chat(5, false, ""));
+		JsonNode answer = this.client.json("POST", "/v1/chat/completions", chat(5, false, ""));
 		assertThat(answer.at("/choices/0/message/content").asText()).isEqualTo(TEXT.text(0, 5));
 		assertThat(answer.at("/usage/completion_tokens").asInt()).isEqualTo(5);
 	}
 
 	@Test
 	void streamsEventsThatCanBeFollowedAgain() throws Exception {
-		String events = this.caller.send("POST", "/v1/chat/completions", chat(3, true, ""), "X-Request-Id", "r").body();
+		String events = this.client.send("POST", "/v1/chat/completions", chat(3, true, ""), "X-Request-Id", "r").body();
 		assertThat(events).startsWith("id: 1\ndata: ").contains("id: 3\n").endsWith("data: [DONE]\n\n");
-		assertThat(this.caller.send("GET", "/v1/streams/r?from=2", "").body()).startsWith("id: 3\ndata: ")
+		assertThat(this.client.send("GET", "/v1/streams/r?from=2", "").body()).startsWith("id: 3\ndata: ")
 			.contains(TEXT.piece(2))
 			.endsWith("data: [DONE]\n\n");
 	}
@@ -48,7 +48,7 @@
 	@Test
 	void resumesWhatAnotherEngineBegan() throws Exception {
 		String resume = ",\"resume\":{\"offset\":3,\"text\":\"" + TEXT.text(0, 3) + "\"}";
-		JsonNode answer = this.caller.json("POST", "/v1/chat/completions", chat(5, false, resume));
+		JsonNode answer = this.client.json("POST", "/v1/chat/completions", chat(5, false, resume));
 		assertThat(answer.at("/choices/0/message/content").asText()).isEqualTo(TEXT.text(3, 5));
 		assertThat(this.engine.recomputedTokens()).isEqualTo(5);
 	}
@@ -59,12 +59,12 @@
 	@ParameterizedTest
 	@CsvSource({ "cutStreams, 1", "truncateStreams, 1", "repeatPieces, 4", "reorderPieces, 4" })
 	void misbehavesOnOneStreamAndServesItAgain(String fault, int pieces) throws Exception {
-		this.caller.send("POST", "/standin/faults", "{\"" + fault + "\":1,\"afterTokens\":1}");
+		this.client.send("POST", "/standin/faults", "{\"" + fault + "\":1,\"afterTokens\":1}");
 		String broken = bodyOrNothing();
 		assertThat(broken.lines().filter((line) -> line.startsWith("id: ")).distinct().count())
 			.isLessThanOrEqualTo(pieces);
-		assertThat(broken).isNotEqualTo(this.caller.send("GET", "/v1/streams/r?from=0", "").body());
-		assertThat(this.caller.send("GET", "/v1/streams/r?from=0", "").body()).contains(TEXT.piece(3))
+		assertThat(broken).isNotEqualTo(this.client.send("GET", "/v1/streams/r?from=0", "").body());
+		assertThat(this.client.send("GET", "/v1/streams/r?from=0", "").body()).contains(TEXT.piece(3))
 			.endsWith("data: [DONE]\n\n");
 	}
 
@@ -72,11 +72,11 @@
 	// two ends has lost track of it; a new connection to the same engine works.
 	@Test
 	void silencesOpenConnections() throws Exception {
-		this.caller.send("GET", "/health", "");
+		this.client.send("GET", "/health", "");
 		this.engine.silenceOpenConnections();
 		assertThatExceptionOfType(HttpTimeoutException.class)
-			.isThrownBy(() -> this.caller.sendWithin(Duration.ofMillis(300), "GET", "/health", ""));
-		assertThat(new Caller(this.engine.address()).send("GET", "/health", "").statusCode()).isEqualTo(200);
+			.isThrownBy(() -> this.client.sendWithin(Duration.ofMillis(300), "GET", "/health", ""));
+		assertThat(new StandinClient(this.engine.address()).send("GET", "/health", "").statusCode()).isEqualTo(200);
 	}
 
 	// Every engine that begins to run the prompt dies: its other callers lose their
@@ -84,16 +84,16 @@
 	@Test
 	void crashesOnAWord() throws Exception {
 		this.engine.faults().set(EngineFault.CRASH_ON_WORD, "plan");
-		assertThatIOException().isThrownBy(() -> this.caller.send("POST", "/v1/chat/completions", chat(4, true, "")));
-		assertThatIOException().isThrownBy(() -> this.caller.send("GET", "/health", ""));
+		assertThatIOException().isThrownBy(() -> this.client.send("POST", "/v1/chat/completions", chat(4, true, "")));
+		assertThatIOException().isThrownBy(() -> this.client.send("GET", "/health", ""));
 	}
 
 	@Test
 	void resumesFromAnImportedCacheWithoutRecomputing() throws Exception {
-		this.caller.send("POST", "/v1/chat/completions", chat(4, false, ""), "X-Request-Id", "r");
-		String exported = this.caller.send("GET", "/v1/kv/r", "").body();
+		this.client.send("POST", "/v1/chat/completions", chat(4, false, ""), "X-Request-Id", "r");
+		String exported = this.client.send("GET", "/v1/kv/r", "").body();
 		try (EngineStandin other = new EngineStandin(EngineOptions.defaults()).start()) {
-			Caller otherCaller = new Caller(other.address());
+			StandinClient otherCaller = new StandinClient(other.address());
 			assertThat(otherCaller.send("PUT", "/v1/kv/r", exported).statusCode()).isEqualTo(204);
 			JsonNode answer = otherCaller.json("POST", "/v1/chat/completions",
 					chat(6, false, ",\"resume\":{\"offset\":4,\"text\":\"\"}"), "X-Request-Id", "r", "X-Attempt", "2");
@@ -106,7 +106,7 @@
 	@CsvSource({ "true, 409, new", "false, 200, old" })
 	void refusesOldFencingNumbersWhereItChecksThem(boolean checks, int status, String model) throws Exception {
 		try (EngineStandin fenced = new EngineStandin(EngineOptions.defaults().withCheckFence(checks)).start()) {
-			Caller planner = new Caller(fenced.address());
+			StandinClient planner = new StandinClient(fenced.address());
 			planner.send("POST", "/v1/orders", "{\"fence\":7,\"models\":[\"new\"]}");
 			assertThat(planner.send("POST", "/v1/orders", "{\"fence\":6,\"models\":[\"old\"]}").statusCode())
 				.isEqualTo(status);
@@ -117,7 +117,7 @@
 
 	private String bodyOrNothing() throws InterruptedException {
 		try {
-			return this.caller.send("POST", "/v1/chat/completions", chat(4, true, ""), "X-Request-Id", "r").body();
+			return this.client.send("POST", "/v1/chat/completions", chat(4, true, ""), "X-Request-Id", "r").body();
 		}
 		catch (IOException ex) {
 			return "";
--- a/banyancove-standins/src/test/java/org/banyancove/standins/platform/PlatformStandinTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/platform/PlatformStandinTests.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.banyancove.standins.support.Caller;
+import org.banyancove.standins.support.StandinClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -28,7 +28,7 @@
 		.withListeners(List.of("north1", "north2"))
 		.withClock(this.now::get)).start();
 
-	private final Caller caller = new Caller(this.platform.address());
+	private final StandinClient client = new StandinClient(this.platform.address());
 
 	@AfterEach
 	void close() {
@@ -37,20 +37,20 @@
 
 	@Test
 	void appendsAndReadsByOffset() throws Exception {
-		this.caller.send("POST", "/log/profiles/records", TWO_RECORDS);
-		JsonNode appended = this.caller.json("POST", "/log/profiles/records", TWO_RECORDS);
+		this.client.send("POST", "/log/profiles/records", TWO_RECORDS);
+		JsonNode appended = this.client.json("POST", "/log/profiles/records", TWO_RECORDS);
 		assertThat(appended.path("firstOffset").asInt()).isEqualTo(2);
 		assertThat(appended.path("lastOffset").asInt()).isEqualTo(3);
-		JsonNode read = this.caller.json("GET", "/log/profiles/records?from=1&limit=2", "");
+		JsonNode read = this.client.json("GET", "/log/profiles/records?from=1&limit=2", "");
 		assertThat(read.path("endOffset").asInt()).isEqualTo(4);
 		assertThat(read.path("records").findValuesAsText("id")).containsExactly("b", "a");
 	}
 
 	@Test
 	void trimsWhatIsOlderThanTheRetention() throws Exception {
-		this.caller.send("POST", "/log/leases/records", TWO_RECORDS);
+		this.client.send("POST", "/log/leases/records", TWO_RECORDS);
 		this.now.set(Instant.EPOCH.plus(Duration.ofHours(2)));
-		JsonNode read = this.caller.json("GET", "/log/leases/records?from=0", "");
+		JsonNode read = this.client.json("GET", "/log/leases/records?from=0", "");
 		assertThat(read.path("firstRetained").asInt()).isEqualTo(2);
 		assertThat(read.path("endOffset").asInt()).isEqualTo(2);
 		assertThat(read.path("records")).isEmpty();
@@ -58,9 +58,9 @@
 
 	@Test
 	void refusesAppendsOverTheRate() throws Exception {
-		assertThat(this.caller.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(200);
-		assertThat(this.caller.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(200);
-		assertThat(this.caller.send("POST", "/log/leases/records", TWO_RECORDS).headers().firstValue("Retry-After"))
+		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(200);
+		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(200);
+		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).headers().firstValue("Retry-After"))
 			.contains("1");
 	}
 
@@ -69,26 +69,26 @@
 	@Test
 	void losesAnAnswerAfterTheAppendTookEffect() throws Exception {
 		this.platform.faults().set(PlatformFault.LOSE_APPEND_ANSWERS, 1);
-		assertThatIOException().isThrownBy(() -> this.caller.send("POST", "/log/leases/records", TWO_RECORDS));
-		assertThat(this.caller.json("GET", "/log/leases/records", "").path("endOffset").asInt()).isEqualTo(2);
+		assertThatIOException().isThrownBy(() -> this.client.send("POST", "/log/leases/records", TWO_RECORDS));
+		assertThat(this.client.json("GET", "/log/leases/records", "").path("endOffset").asInt()).isEqualTo(2);
 	}
 
 	@Test
 	void answersBadInputWithAnError() throws Exception {
 		for (String body : List.of("", "[]", "{}", "{\"records\":[]}", "{\"records\":3}")) {
-			assertThat(this.caller.send("POST", "/log/leases/records", body).statusCode()).as(body).isEqualTo(400);
+			assertThat(this.client.send("POST", "/log/leases/records", body).statusCode()).as(body).isEqualTo(400);
 		}
-		assertThat(this.caller.send("GET", "/log/leases/records?from=x", "").statusCode()).isEqualTo(400);
+		assertThat(this.client.send("GET", "/log/leases/records?from=x", "").statusCode()).isEqualTo(400);
 	}
 
 	@Test
 	void showsANoticeAtOnceAndTheListLate() throws Exception {
-		this.caller.send("POST", "/standin/notices", "{\"vm\":\"vm-1\",\"inMillis\":30000}");
-		assertThat(this.caller.json("GET", "/notices?after=0", "").at("/notices/0/reclaimAt").asText())
+		this.client.send("POST", "/standin/notices", "{\"vm\":\"vm-1\",\"inMillis\":30000}");
+		assertThat(this.client.json("GET", "/notices?after=0", "").at("/notices/0/reclaimAt").asText())
 			.isEqualTo("1970-01-01T00:00:30Z");
-		assertThat(this.caller.json("GET", "/vms", "").at("/vms/0/state").asText()).isEqualTo("live");
+		assertThat(this.client.json("GET", "/vms", "").at("/vms/0/state").asText()).isEqualTo("live");
 		this.now.set(Instant.EPOCH.plusSeconds(2));
-		assertThat(this.caller.json("GET", "/vms", "").at("/vms/0/state").asText()).isEqualTo("leaving");
+		assertThat(this.client.json("GET", "/vms", "").at("/vms/0/state").asText()).isEqualTo("leaving");
 	}
 
 	// The caller of the cloud API loses the answer to its start and repeats it under its
@@ -97,21 +97,21 @@
 	void startsOneVmForOneToken() throws Exception {
 		String start = "{\"clientToken\":\"t-1\",\"zone\":\"zone-a\",\"machineClass\":\"small\",\"reclaimable\":true}";
 		this.platform.faults().set(PlatformFault.LOSE_CLOUD_ANSWERS, 1);
-		assertThatIOException().isThrownBy(() -> this.caller.send("POST", "/cloud/vms", start));
-		String id = this.caller.json("POST", "/cloud/vms", start).path("id").asText();
-		assertThat(this.caller.json("GET", "/cloud/vms?tokenPrefix=t-", "").path("vms").findValuesAsText("id"))
+		assertThatIOException().isThrownBy(() -> this.client.send("POST", "/cloud/vms", start));
+		String id = this.client.json("POST", "/cloud/vms", start).path("id").asText();
+		assertThat(this.client.json("GET", "/cloud/vms?tokenPrefix=t-", "").path("vms").findValuesAsText("id"))
 			.containsExactly(id);
-		assertThat(this.caller.send("DELETE", "/cloud/vms/" + id, "").statusCode()).isEqualTo(204);
-		assertThat(this.caller.json("GET", "/cloud/vms", "").path("vms")).isEmpty();
+		assertThat(this.client.send("DELETE", "/cloud/vms/" + id, "").statusCode()).isEqualTo(204);
+		assertThat(this.client.json("GET", "/cloud/vms", "").path("vms")).isEmpty();
 	}
 
 	@Test
 	void refusesStartsByZoneAndLoadsOverTheRate() throws Exception {
 		this.platform.faults().set(PlatformFault.REFUSE_STARTS_IN, "zone-a,zone-b");
-		assertThat(this.caller.send("POST", "/cloud/vms", "{\"clientToken\":\"t\",\"zone\":\"zone-b\"}").statusCode())
+		assertThat(this.client.send("POST", "/cloud/vms", "{\"clientToken\":\"t\",\"zone\":\"zone-b\"}").statusCode())
 			.isEqualTo(503);
-		assertThat(this.caller.send("GET", "/weights/plans", "").statusCode()).isEqualTo(200);
-		assertThat(this.caller.send("GET", "/weights/plans", "").statusCode()).isEqualTo(429);
+		assertThat(this.client.send("GET", "/weights/plans", "").statusCode()).isEqualTo(200);
+		assertThat(this.client.send("GET", "/weights/plans", "").statusCode()).isEqualTo(429);
 	}
 
 	// An append that the log answered with an error takes effect all the same, later:
@@ -119,8 +119,8 @@
 	@Test
 	void takesALateAppendThatItAnsweredWithAnError() throws Exception {
 		this.platform.faults().set(PlatformFault.LATE_APPENDS, 1);
-		assertThat(this.caller.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(503);
-		JsonNode read = this.caller.json("GET", "/log/leases/records?from=0&waitMillis=20000", "");
+		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(503);
+		JsonNode read = this.client.json("GET", "/log/leases/records?from=0&waitMillis=20000", "");
 		assertThat(read.path("records")).hasSize(2);
 	}
 
@@ -130,8 +130,8 @@
 	@Test
 	void cutsOffThoseWhoUseASilentListener() throws Exception {
 		this.platform.faults().set(PlatformFault.SILENT_LISTENERS, "north1");
-		Caller cutOff = new Caller(this.platform.address("north1"));
-		Caller other = new Caller(this.platform.address("north2"));
+		StandinClient cutOff = new StandinClient(this.platform.address("north1"));
+		StandinClient other = new StandinClient(this.platform.address("north2"));
 		assertThatExceptionOfType(HttpTimeoutException.class)
 			.isThrownBy(() -> cutOff.sendWithin(Duration.ofMillis(300), "POST", "/log/leases/records", TWO_RECORDS));
 		assertThat(other.json("GET", "/log/leases/records", "").path("endOffset").asInt()).isZero();
--- a/banyancove-standins/src/test/java/org/banyancove/standins/support/FaultSwitchesTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/support/FaultSwitchesTests.java
@@ -6,24 +6,23 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The stand-ins' switches, as their names promise.
+ * Tests for {@link FaultSwitches}.
  */
 class FaultSwitchesTests {
 
 	private final FaultSwitches<EngineFault> switches = new FaultSwitches<>(EngineFault.class);
 
-	// A caller asks for "Plan 0" and every engine that runs it crashes, though no
-	// fault is switched on: a text that is off read as the number 0, and that is a
-	// word of the prompt.
+	// Guards against engines that crash on a prompt such as "Plan 0" with no fault
+	// enabled: the text of a disabled switch was "0", which is a word of the prompt.
 	@Test
-	void aTextThatIsOffIsEmpty() {
+	void textOfDisabledSwitchIsEmpty() {
 		assertThat(this.switches.text(EngineFault.CRASH_ON_WORD)).isEmpty();
 		this.switches.set(EngineFault.CRASH_ON_WORD, false);
 		assertThat(this.switches.text(EngineFault.CRASH_ON_WORD)).isEmpty();
 	}
 
 	@Test
-	void aTextThatIsOnIsReadAsItWasSet() {
+	void textOfEnabledSwitchIsReturnedAsSet() {
 		this.switches.set(EngineFault.CRASH_ON_WORD, "0");
 		assertThat(this.switches.text(EngineFault.CRASH_ON_WORD)).isEqualTo("0");
 	}
--- a/banyancove-standins/src/test/java/org/banyancove/standins/support/Caller.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/support/StandinClient.java
@@ -11,15 +11,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Calls a stand-in as a test does.
+ * HTTP client for the tests of the stand-ins.
  */
-public final class Caller {
+public final class StandinClient {
 
 	private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
 	private final InetSocketAddress address;
 
-	public Caller(InetSocketAddress address) {
+	public StandinClient(InetSocketAddress address) {
 		this.address = address;
 	}
 
