--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/CloudService.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/CloudService.java
@@ -16,19 +16,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The cloud API: VMs started under client tokens, and prices. A VM started here is only
- * bought, unless a machine was added before: the VM then is an engine on the list of VMs
- * that answers at the machine's address. Safe for many threads.
+ * The cloud API: prices, and VMs that are started idempotently by client token. A started
+ * VM is only recorded, unless a free machine of its zone and class was registered. It is
+ * then listed as an engine VM with the machine's address. This class is thread-safe.
  */
 final class CloudService {
 
-	private static final Duration REFUSED_FOR = Duration.ofSeconds(30);
+	private static final Duration START_RETRY_AFTER = Duration.ofSeconds(30);
 
 	private final PlatformOptions options;
 
 	private final FaultSwitches<PlatformFault> faults;
 
-	private final RunCounter starts;
+	private final RunCounter startCounter;
 
 	private final VmDirectory directory;
 
@@ -38,14 +38,14 @@
 
 	private final Map<String, Machine> machinesByVm = new HashMap<>();
 
-	private long started;
+	private long startedVms;
 
-	CloudService(PlatformOptions options, FaultSwitches<PlatformFault> faults, RunCounter starts,
+	CloudService(PlatformOptions options, FaultSwitches<PlatformFault> faults, RunCounter startCounter,
 			VmDirectory directory) {
 		this.directory = directory;
 		this.options = options;
 		this.faults = faults;
-		this.starts = starts;
+		this.startCounter = startCounter;
 	}
 
 	void serve(Exchange exchange) throws IOException {
@@ -58,26 +58,26 @@
 					exchange.sendError(404, "Unknown call " + exchange.route());
 					return;
 				}
-				end(exchange.segment(2));
-				loseAnswerIfTold();
+				stop(exchange.segment(2));
+				dropResponseIfTriggered();
 				exchange.send(204, "application/json", new byte[0]);
 			}
 		}
 	}
 
 	/**
-	 * Adds a machine that one VM at a time may be started on.
+	 * Registers a machine, which runs one VM at a time.
 	 * @param machine the machine
 	 */
-	synchronized void add(Machine machine) {
+	synchronized void registerMachine(Machine machine) {
 		this.freeMachines.add(machine);
 	}
 
 	/**
-	 * Ends a VM, if it runs; its machine is free again.
+	 * Stops a VM if it is running, and releases its machine.
 	 * @param id the VM's identifier
 	 */
-	synchronized void end(String id) {
+	synchronized void stop(String id) {
 		this.vmsByToken.values().removeIf((vm) -> vm.id().equals(id));
 		Machine machine = this.machinesByVm.remove(id);
 		if (machine != null) {
@@ -88,31 +88,32 @@
 
 	private void start(Exchange exchange) throws IOException {
 		StartRequest request = exchange.json(StartRequest.class);
-		if (refused(request.zone())) {
-			exchange.sendError(503, "No " + request.machineClass() + " to be had in " + request.zone(), REFUSED_FOR);
+		if (isStartRefused(request.zone())) {
+			exchange.sendError(503, "No " + request.machineClass() + " to be had in " + request.zone(),
+					START_RETRY_AFTER);
 			return;
 		}
-		CloudVm vm = startOnce(request);
-		loseAnswerIfTold();
+		CloudVm vm = startIfAbsent(request);
+		dropResponseIfTriggered();
 		exchange.send(200, new StartAnswer(vm.id()));
 	}
 
-	private synchronized CloudVm startOnce(StartRequest request) {
-		CloudVm known = this.vmsByToken.get(request.clientToken());
-		if (known != null) {
-			return known;
+	private synchronized CloudVm startIfAbsent(StartRequest request) {
+		CloudVm existing = this.vmsByToken.get(request.clientToken());
+		if (existing != null) {
+			return existing;
 		}
-		this.started++;
-		this.starts.count(request.clientToken(), new byte[0]);
-		CloudVm vm = new CloudVm("cloud-" + this.started, request.clientToken(), request.dataCenter(), request.zone(),
-				request.machineClass(), request.reclaimable(), request.service(), VmState.LIVE,
+		this.startedVms++;
+		this.startCounter.count(request.clientToken(), new byte[0]);
+		CloudVm vm = new CloudVm("cloud-" + this.startedVms, request.clientToken(), request.dataCenter(),
+				request.zone(), request.machineClass(), request.reclaimable(), request.service(), VmState.LIVE,
 				this.options.clock().instant().toString());
 		this.vmsByToken.put(request.clientToken(), vm);
-		place(vm);
+		assignMachine(vm);
 		return vm;
 	}
 
-	private void place(CloudVm vm) {
+	private void assignMachine(CloudVm vm) {
 		Machine machine = this.freeMachines.stream()
 			.filter((free) -> free.zone().equals(vm.zone()) && free.machineClass().equals(vm.machineClass()))
 			.findFirst()
@@ -133,23 +134,23 @@
 			.toList());
 	}
 
-	private boolean refused(String zone) {
+	private boolean isStartRefused(String zone) {
 		List<String> zones = Arrays.asList(this.faults.text(PlatformFault.REFUSE_STARTS_IN).split(","));
 		return zones.contains("all") || zones.contains(zone);
 	}
 
-	private void loseAnswerIfTold() throws ConnectionDropException {
+	private void dropResponseIfTriggered() throws ConnectionDropException {
 		if (this.faults.tryTrigger(PlatformFault.LOSE_CLOUD_ANSWERS)) {
-			throw new ConnectionDropException("Switched to lose the answer");
+			throw new ConnectionDropException("Fault LOSE_CLOUD_ANSWERS: connection closed before the response");
 		}
 	}
 
 	/**
-	 * A machine that a VM may be started on.
+	 * A machine on which a VM can be started.
 	 *
-	 * @param zone its zone
-	 * @param machineClass its machine class
-	 * @param address the address its program listens on
+	 * @param zone the zone
+	 * @param machineClass the machine class
+	 * @param address the address that the engine listens on
 	 */
 	record Machine(String zone, String machineClass, String address) {
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogRecord.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogRecord.java
@@ -3,12 +3,12 @@
 import java.time.Instant;
 
 /**
- * A record of the log as readers get it.
+ * A record of the log, as returned to readers.
  *
- * @param offset its offset in its stream
- * @param id the identifier its writer gave it
- * @param data its data
- * @param appendedAt when it was appended, as ISO 8601
+ * @param offset the offset in the stream
+ * @param id the identifier assigned by the writer
+ * @param data the data
+ * @param appendedAt the time of the append, in ISO 8601
  */
 public record LogRecord(long offset, String id, String data, String appendedAt) {
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogService.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogService.java
@@ -13,24 +13,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's append-only log, over all its streams.
+ * The append-only log of the platform, with one stream for each name.
  */
 final class LogService {
 
-	private static final int DEFAULT_LIMIT = 1000;
+	private static final int DEFAULT_READ_LIMIT = 1000;
 
 	private final PlatformOptions options;
 
 	private final FaultSwitches<PlatformFault> faults;
 
-	private final RateLimiter appends;
+	private final RateLimiter appendLimiter;
 
 	private final Map<String, LogStream> streams = new ConcurrentHashMap<>();
 
 	LogService(PlatformOptions options, FaultSwitches<PlatformFault> faults) {
 		this.options = options;
 		this.faults = faults;
-		this.appends = new RateLimiter(options.appendsPerSecond(), options.clock());
+		this.appendLimiter = new RateLimiter(options.appendsPerSecond(), options.clock());
 	}
 
 	void serve(Exchange exchange) throws IOException, InterruptedException {
@@ -54,7 +54,7 @@
 			exchange.sendError(400, "An append needs records");
 			return;
 		}
-		Duration retryAfter = this.appends.acquire();
+		Duration retryAfter = this.appendLimiter.acquire();
 		if (retryAfter.isPositive()) {
 			exchange.sendError(429, "Too many appends", retryAfter);
 			return;
@@ -65,19 +65,19 @@
 			stream.append(records);
 			return;
 		}
-		LogStream.AppendAnswer answer = stream.append(records);
+		LogStream.AppendAnswer response = stream.append(records);
 		if (this.faults.tryTrigger(PlatformFault.LOSE_APPEND_ANSWERS)) {
-			throw new ConnectionDropException("Switched to lose the answer");
+			throw new ConnectionDropException("Fault LOSE_APPEND_ANSWERS: connection closed after the append");
 		}
 		if (this.faults.tryTrigger(PlatformFault.HANG_APPEND_ANSWERS)) {
 			exchange.hangUntilStopped();
 		}
-		exchange.send(200, answer);
+		exchange.send(200, response);
 	}
 
 	private void read(Exchange exchange, LogStream stream) throws IOException, InterruptedException {
 		long from = exchange.query("from", 0);
-		int limit = Math.toIntExact(exchange.query("limit", DEFAULT_LIMIT));
+		int limit = Math.toIntExact(exchange.query("limit", DEFAULT_READ_LIMIT));
 		Duration wait = Duration.ofMillis(exchange.query("waitMillis", 0));
 		exchange.send(200, stream.read(from, limit, wait));
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogStream.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/LogStream.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * One append-only stream of the log. Offsets start at zero and have no gaps. Safe for
- * many threads.
+ * An append-only stream of the log. Offsets start at zero and have no gaps. This class is
+ * thread-safe.
  */
 final class LogStream {
 
@@ -30,16 +30,16 @@
 		this.clock = clock;
 	}
 
-	AppendAnswer append(List<NewRecord> added) {
+	AppendAnswer append(List<NewRecord> newRecords) {
 		this.lock.lock();
 		try {
-			long first = endOffset();
+			long firstOffset = endOffset();
 			String now = this.clock.instant().toString();
-			for (NewRecord record : added) {
+			for (NewRecord record : newRecords) {
 				this.records.add(new LogRecord(endOffset(), record.id(), record.data(), now));
 			}
 			this.appended.signalAll();
-			return new AppendAnswer(first, endOffset() - 1);
+			return new AppendAnswer(firstOffset, endOffset() - 1);
 		}
 		finally {
 			this.lock.unlock();
@@ -49,11 +49,11 @@
 	ReadAnswer read(long from, int limit, Duration wait) throws InterruptedException {
 		this.lock.lock();
 		try {
-			long left = wait.toNanos();
-			while (from >= endOffset() && left > 0) {
-				left = this.appended.awaitNanos(left);
+			long remainingNanos = wait.toNanos();
+			while (from >= endOffset() && remainingNanos > 0) {
+				remainingNanos = this.appended.awaitNanos(remainingNanos);
 			}
-			trim();
+			removeExpired();
 			int start = Math.toIntExact(Math.clamp(from - this.firstRetained, 0L, this.records.size()));
 			int end = Math.min(this.records.size(), start + limit);
 			return new ReadAnswer(this.firstRetained, endOffset(), List.copyOf(this.records.subList(start, end)));
@@ -67,7 +67,7 @@
 		return this.firstRetained + this.records.size();
 	}
 
-	private void trim() {
+	private void removeExpired() {
 		int expired = 0;
 		while (expired < this.records.size()
 				&& this.records.get(expired).appendedInstant().plus(this.retention).isBefore(this.clock.instant())) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformFault.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformFault.java
@@ -1,62 +1,62 @@
 package org.banyancove.standins.platform;
 
 /**
- * The ways in which the platform misbehaves on command. Counted switches take a number of
- * requests, or {@code true} for all.
+ * Faults that can be injected into the platform. A counted switch is set to a number of
+ * requests, or to {@code true} for all requests.
  */
 public enum PlatformFault {
 
 	/**
-	 * Counted: answers calls to the log with {@code 503}, without effect.
+	 * Counted: rejects requests to the log with {@code 503}, without effect.
 	 */
 	LOG_OUTAGE,
 
 	/**
-	 * Counted: answers calls to the rest of the platform with {@code 503}, without
+	 * Counted: rejects requests to the rest of the platform with {@code 503}, without
 	 * effect.
 	 */
 	PLATFORM_OUTAGE,
 
 	/**
-	 * Milliseconds by which each call to the log takes longer.
+	 * Additional latency of each request to the log, in milliseconds.
 	 */
 	LOG_SLOW_MILLIS,
 
 	/**
-	 * Counted: takes the append, then closes the connection without an answer.
+	 * Counted: applies the append, then closes the connection without a response.
 	 */
 	LOSE_APPEND_ANSWERS,
 
 	/**
-	 * Counted: takes the append and never answers.
+	 * Counted: applies the append and never responds.
 	 */
 	HANG_APPEND_ANSWERS,
 
 	/**
-	 * Counted: answers {@code 503} at once and takes the append all the same, after
+	 * Counted: responds with {@code 503} at once but still applies the append, after
 	 * {@link #LATE_APPEND_MILLIS}.
 	 */
 	LATE_APPENDS,
 
 	/**
-	 * Milliseconds until an append struck by {@link #LATE_APPENDS} takes effect.
+	 * Delay of an append affected by {@link #LATE_APPENDS}, in milliseconds.
 	 */
 	LATE_APPEND_MILLIS,
 
 	/**
-	 * The names of zones, separated by commas, in which no VM starts; {@code all} for all
+	 * Comma-separated names of zones in which no VM can be started; {@code all} for all
 	 * zones.
 	 */
 	REFUSE_STARTS_IN,
 
 	/**
-	 * The names of listeners, separated by commas, that say nothing: their callers are
-	 * cut off.
+	 * Comma-separated names of listeners that do not respond, which partitions their
+	 * clients from the platform.
 	 */
 	SILENT_LISTENERS,
 
 	/**
-	 * Counted: makes or ends the VM, then closes the connection without an answer.
+	 * Counted: starts or stops the VM, then closes the connection without a response.
 	 */
 	LOSE_CLOUD_ANSWERS
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformOptions.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformOptions.java
@@ -10,13 +10,13 @@
  * The options of a {@link PlatformStandin}.
  *
  * @param address the address to listen on
- * @param vms the VMs listed at first
- * @param listLag the time until a change of the VM list is seen
- * @param retention how long the log keeps a record
- * @param appendsPerSecond how many appends the log takes a second, over all streams
- * @param weightLoadsPerSecond how many loads the weight store gives a second
+ * @param vms the initially listed VMs
+ * @param listLag the time until a change of the VM list becomes visible
+ * @param retention the retention period of log records
+ * @param appendsPerSecond the log's limit of appends per second, over all streams
+ * @param weightLoadsPerSecond the weight store's limit of loads per second
  * @param prices the prices of the cloud API
- * @param listeners the names of further listeners, such as those of data centres
+ * @param listeners the names of additional listeners, for example one per data centre
  * @param clock the clock
  */
 public record PlatformOptions(InetSocketAddress address, List<VmDescription> vms, Duration listLag, Duration retention,
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Returns options for an empty platform on any free port of the loopback address.
+	 * Returns options for a platform without VMs on an ephemeral loopback port.
 	 * @return the options
 	 */
 	public static PlatformOptions defaults() {
@@ -62,20 +62,20 @@
 	}
 
 	/**
-	 * Returns these options with other delays.
+	 * Returns these options with another list lag and retention.
 	 * @param lag the lag of the VM list
-	 * @param keep the log's retention
+	 * @param retentionPeriod the retention period of log records
 	 * @return the options
 	 */
-	public PlatformOptions withListLagAndRetention(Duration lag, Duration keep) {
-		return new PlatformOptions(this.address, this.vms, lag, keep, this.appendsPerSecond, this.weightLoadsPerSecond,
-				this.prices, this.listeners, this.clock);
+	public PlatformOptions withListLagAndRetention(Duration lag, Duration retentionPeriod) {
+		return new PlatformOptions(this.address, this.vms, lag, retentionPeriod, this.appendsPerSecond,
+				this.weightLoadsPerSecond, this.prices, this.listeners, this.clock);
 	}
 
 	/**
 	 * Returns these options with other rates.
-	 * @param appends the appends the log takes a second
-	 * @param weightLoads the loads the weight store gives a second
+	 * @param appends the log's limit of appends per second
+	 * @param weightLoads the weight store's limit of loads per second
 	 * @return the options
 	 */
 	public PlatformOptions withRates(double appends, double weightLoads) {
@@ -94,7 +94,7 @@
 	}
 
 	/**
-	 * Returns these options with further listeners.
+	 * Returns these options with other additional listeners.
 	 * @param value the names of the listeners
 	 * @return the options
 	 */
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformStandin.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/PlatformStandin.java
@@ -15,8 +15,8 @@
 import org.banyancove.standins.support.StandinServer;
 
 /**
- * The platform: an append-only log, a lagging list of VMs with reclaim notices, a cloud
- * API and a weight store, all in memory.
+ * In-memory platform: an append-only log, a delayed list of VMs with reclaim notices, a
+ * cloud API and a weight store.
  */
 public final class PlatformStandin extends AbstractStandin<PlatformFault> {
 
@@ -30,13 +30,13 @@
 
 	private final CloudService cloud;
 
-	private final RateLimiter weightLoads;
+	private final RateLimiter weightLoadLimiter;
 
 	private final Map<String, StandinServer<PlatformFault>> listeners = new LinkedHashMap<>();
 
 	/**
 	 * Creates the platform and binds its address.
-	 * @param options its options
+	 * @param options the options
 	 */
 	public PlatformStandin(PlatformOptions options) {
 		super(options.address(), PlatformFault.class);
@@ -44,10 +44,10 @@
 		this.log = new LogService(options, faults());
 		this.directory = new VmDirectory(options);
 		this.cloud = new CloudService(options, faults(), runs(), this.directory);
-		this.weightLoads = new RateLimiter(options.weightLoadsPerSecond(), options.clock());
+		this.weightLoadLimiter = new RateLimiter(options.weightLoadsPerSecond(), options.clock());
 		for (String listener : options.listeners()) {
-			InetSocketAddress anyPort = new InetSocketAddress(options.address().getAddress(), 0);
-			this.listeners.put(listener, createServer(anyPort, () -> isSilent(listener)));
+			InetSocketAddress ephemeralAddress = new InetSocketAddress(options.address().getAddress(), 0);
+			this.listeners.put(listener, createServer(ephemeralAddress, () -> isSilent(listener)));
 		}
 	}
 
@@ -59,11 +59,11 @@
 	}
 
 	/**
-	 * Returns the address of one of the platform's further listeners. Each can be
-	 * silenced, so that those who use it are cut off while others are not.
+	 * Returns the address of one of the platform's additional listeners. Each can be
+	 * silenced, which partitions its clients from the platform but no others.
 	 * @param listener the listener's name
-	 * @return its address
-	 * @throws IllegalArgumentException if there is none of that name
+	 * @return the listener's address
+	 * @throws IllegalArgumentException if there is no listener of that name
 	 */
 	public InetSocketAddress address(String listener) {
 		StandinServer<PlatformFault> server = this.listeners.get(listener);
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Adds a VM to the list, or changes it; seen after the list's lag.
+	 * Adds or replaces a VM. The change becomes visible after the list's lag.
 	 * @param vm the VM
 	 */
 	public void putVm(VmDescription vm) {
@@ -82,18 +82,19 @@
 	}
 
 	/**
-	 * Takes a VM off the list; seen after the list's lag.
+	 * Removes a VM. The change becomes visible after the list's lag.
 	 * @param id the VM's identifier
 	 */
 	public void removeVm(String id) {
-		this.cloud.end(id);
+		this.cloud.stop(id);
 		this.directory.remove(id);
 	}
 
 	/**
-	 * Gives a VM its reclaim notice. The notice is seen at once, the list lags.
+	 * Publishes a reclaim notice. The notice is visible immediately, the VM's new state
+	 * after the list's lag.
 	 * @param id the VM's identifier
-	 * @param at when it goes
+	 * @param at the time at which the VM is reclaimed
 	 */
 	public void announceReclaim(String id, Instant at) {
 		this.directory.announceReclaim(id, at);
@@ -108,13 +109,13 @@
 	@Override
 	protected void serve(Exchange exchange) throws IOException, InterruptedException {
 		String area = exchange.segment(0);
-		boolean spared = area.equals("standin") || area.equals("log");
-		if (!spared && faults().tryTrigger(PlatformFault.PLATFORM_OUTAGE)) {
+		boolean exempt = area.equals("standin") || area.equals("log");
+		if (!exempt && faults().tryTrigger(PlatformFault.PLATFORM_OUTAGE)) {
 			exchange.sendError(503, "The platform is down", Duration.ofSeconds(1));
 			return;
 		}
 		switch (area) {
-			case "standin" -> serveTest(exchange);
+			case "standin" -> serveControl(exchange);
 			case "log" -> this.log.serve(exchange);
 			case "vms" -> exchange.send(200, this.directory.list());
 			case "notices" -> exchange.send(200, this.directory.noticesAfter(exchange.query("after", 0),
@@ -130,7 +131,7 @@
 	}
 
 	private void loadWeights(Exchange exchange) throws IOException {
-		Duration retryAfter = this.weightLoads.acquire();
+		Duration retryAfter = this.weightLoadLimiter.acquire();
 		if (retryAfter.isPositive()) {
 			exchange.sendError(429, "Too many loads of weights", retryAfter);
 			return;
@@ -138,7 +139,7 @@
 		exchange.send(200, new Weights(exchange.segment(1), WEIGHT_BYTES));
 	}
 
-	private void serveTest(Exchange exchange) throws IOException {
+	private void serveControl(Exchange exchange) throws IOException {
 		if (exchange.route().startsWith("DELETE /standin/vms/")) {
 			removeVm(exchange.segment(2));
 			exchange.send(204, "application/json", new byte[0]);
@@ -157,7 +158,7 @@
 			}
 			case "POST /standin/machines" -> {
 				CloudService.Machine machine = exchange.json(CloudService.Machine.class);
-				this.cloud.add(machine);
+				this.cloud.registerMachine(machine);
 				exchange.send(200, machine);
 			}
 			default -> exchange.sendError(404, "Unknown call " + exchange.route());
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/Price.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/Price.java
@@ -1,20 +1,20 @@
 package org.banyancove.standins.platform;
 
 /**
- * What a VM costs.
+ * The price of a VM.
  *
  * @param zone the zone
  * @param machineClass the machine class
  * @param reclaimable whether the VM may be reclaimed
- * @param perHour the price of an hour
+ * @param perHour the price per hour
  */
 public record Price(String zone, String machineClass, boolean reclaimable, double perHour) {
 
 	/**
-	 * Reads a price from the command line's form.
+	 * Parses a price in command line format.
 	 * @param text {@code zone,class,reclaimable|on-demand,perHour}
 	 * @return the price
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text has another format
 	 */
 	public static Price parse(String text) {
 		String[] fields = text.split(",", -1);
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/VmDescription.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/VmDescription.java
@@ -3,33 +3,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A VM as the platform lists it.
+ * A VM in the platform's list.
  *
- * @param id its identifier
- * @param dataCenter its data centre
- * @param zone its zone
- * @param machineClass its machine class
+ * @param id the identifier
+ * @param dataCenter the data centre
+ * @param zone the zone
+ * @param machineClass the machine class
  * @param role {@code entry}, {@code engine} or {@code service}
  * @param service the service it belongs to, or {@code null} for an entry
- * @param address the address its program listens on, as {@code 127.0.0.1:port}
- * @param state whether it is leaving
- * @param reclaimAt when it goes, as ISO 8601, or {@code null}
+ * @param address the address that the VM's process listens on, as {@code 127.0.0.1:port}
+ * @param state the state
+ * @param reclaimAt the time at which the VM is reclaimed, in ISO 8601, or {@code null}
  */
 public record VmDescription(String id, String dataCenter, String zone, String machineClass, String role,
 		@Nullable String service, String address, VmState state, @Nullable String reclaimAt) {
 
-	private static final int FIELDS = 7;
+	private static final int FIELD_COUNT = 7;
 
 	/**
-	 * Reads a live VM from the command line's form.
+	 * Parses a live VM in command line format.
 	 * @param text {@code id,dataCenter,zone,class,role,service,address}, with an empty
 	 * service for an entry
 	 * @return the VM
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text has another format
 	 */
 	public static VmDescription parse(String text) {
 		String[] fields = text.split(",", -1);
-		if (fields.length != FIELDS) {
+		if (fields.length != FIELD_COUNT) {
 			throw new IllegalArgumentException(
 					"A VM must have the form id,dataCenter,zone,class,role,service,address: '" + text + "'");
 		}
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Returns this VM with its notice.
-	 * @param at when it goes, as ISO 8601
+	 * Returns this VM as leaving, with its reclaim time.
+	 * @param at the time at which the VM is reclaimed, in ISO 8601
 	 * @return the leaving VM
 	 */
 	public VmDescription leaving(String at) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/VmDirectory.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/VmDirectory.java
@@ -11,8 +11,8 @@
 import org.banyancove.standins.support.LaggingView;
 
 /**
- * The VMs of the platform, as its lagging list and its notices show them. Safe for many
- * threads.
+ * The VMs of the platform, published as a delayed list and as reclaim notices. This class
+ * is thread-safe.
  */
 final class VmDirectory {
 
@@ -54,18 +54,18 @@
 
 	synchronized NoticeList noticesAfter(long sequence, Duration wait) throws InterruptedException {
 		long deadline = System.nanoTime() + wait.toNanos();
-		long left = wait.toMillis();
-		while (this.notices.size() <= sequence && left > 0) {
-			wait(left);
-			left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+		long remainingMillis = wait.toMillis();
+		while (this.notices.size() <= sequence && remainingMillis > 0) {
+			wait(remainingMillis);
+			remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
 		}
 		int start = Math.toIntExact(Math.clamp(sequence, 0L, this.notices.size()));
 		return new NoticeList(List.copyOf(this.notices.subList(start, this.notices.size())));
 	}
 
 	VmList list() {
-		LaggingView.Stamped<List<VmDescription>> seen = this.list.get();
-		return new VmList(seen.at().toString(), seen.value());
+		LaggingView.Stamped<List<VmDescription>> visible = this.list.get();
+		return new VmList(visible.at().toString(), visible.value());
 	}
 
 	record Notice(long sequence, String vm, String reclaimAt) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/VmState.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/VmState.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Whether a VM stays or is about to be reclaimed or stopped.
+ * The state of a VM.
  */
 public enum VmState {
 
 	/**
-	 * The VM runs.
+	 * The VM is running, without a reclaim notice.
 	 */
 	@JsonProperty("live")
 	LIVE,
 
 	/**
-	 * The VM has had its notice.
+	 * The VM has received its reclaim notice and will be reclaimed or stopped.
 	 */
 	@JsonProperty("leaving")
 	LEAVING
--- a/banyancove-standins/src/main/java/org/banyancove/standins/platform/package-info.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/platform/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for the platform: log, VM list, notices, cloud API and weight store.
+ * Stand-in for the platform: log, VM list, notices, cloud API and weight store.
  */
 @NullMarked
 package org.banyancove.standins.platform;
--- a/banyancove-standins/src/test/java/org/banyancove/standins/platform/PlatformStandinTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/platform/PlatformStandinTests.java
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void trimsWhatIsOlderThanTheRetention() throws Exception {
+	void removesRecordsOlderThanRetention() throws Exception {
 		this.client.send("POST", "/log/leases/records", TWO_RECORDS);
 		this.now.set(Instant.EPOCH.plus(Duration.ofHours(2)));
 		JsonNode read = this.client.json("GET", "/log/leases/records?from=0", "");
@@ -57,24 +57,24 @@
 	}
 
 	@Test
-	void refusesAppendsOverTheRate() throws Exception {
+	void rejectsAppendsOverRateLimit() throws Exception {
 		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(200);
 		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(200);
 		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).headers().firstValue("Retry-After"))
 			.contains("1");
 	}
 
-	// The caller sees its connection close and cannot tell whether the append took
-	// effect. It did: the records stand at their offsets, the answer alone was lost.
+	// The connection closes, so the client cannot tell whether the append took effect.
+	// The records are appended at their offsets; only the response is lost.
 	@Test
-	void losesAnAnswerAfterTheAppendTookEffect() throws Exception {
+	void losesResponseAfterAppendTookEffect() throws Exception {
 		this.platform.faults().set(PlatformFault.LOSE_APPEND_ANSWERS, 1);
 		assertThatIOException().isThrownBy(() -> this.client.send("POST", "/log/leases/records", TWO_RECORDS));
 		assertThat(this.client.json("GET", "/log/leases/records", "").path("endOffset").asInt()).isEqualTo(2);
 	}
 
 	@Test
-	void answersBadInputWithAnError() throws Exception {
+	void rejectsInvalidInput() throws Exception {
 		for (String body : List.of("", "[]", "{}", "{\"records\":[]}", "{\"records\":3}")) {
 			assertThat(this.client.send("POST", "/log/leases/records", body).statusCode()).as(body).isEqualTo(400);
 		}
@@ -82,7 +82,7 @@
 	}
 
 	@Test
-	void showsANoticeAtOnceAndTheListLate() throws Exception {
+	void publishesNoticeImmediatelyAndListAfterLag() throws Exception {
 		this.client.send("POST", "/standin/notices", "{\"vm\":\"vm-1\",\"inMillis\":30000}");
 		assertThat(this.client.json("GET", "/notices?after=0", "").at("/notices/0/reclaimAt").asText())
 			.isEqualTo("1970-01-01T00:00:30Z");
@@ -91,10 +91,10 @@
 		assertThat(this.client.json("GET", "/vms", "").at("/vms/0/state").asText()).isEqualTo("leaving");
 	}
 
-	// The caller of the cloud API loses the answer to its start and repeats it under its
-	// token: the VM stands already, so the repeat names it, and one VM is paid for.
+	// A client of the cloud API loses the response to a start and retries with the same
+	// client token. The retry returns the existing VM, so that only one VM is paid for.
 	@Test
-	void startsOneVmForOneToken() throws Exception {
+	void startsOneVmPerClientToken() throws Exception {
 		String start = "{\"clientToken\":\"t-1\",\"zone\":\"zone-a\",\"machineClass\":\"small\",\"reclaimable\":true}";
 		this.platform.faults().set(PlatformFault.LOSE_CLOUD_ANSWERS, 1);
 		assertThatIOException().isThrownBy(() -> this.client.send("POST", "/cloud/vms", start));
@@ -106,7 +106,7 @@
 	}
 
 	@Test
-	void refusesStartsByZoneAndLoadsOverTheRate() throws Exception {
+	void rejectsStartsByZoneAndWeightLoadsOverRateLimit() throws Exception {
 		this.platform.faults().set(PlatformFault.REFUSE_STARTS_IN, "zone-a,zone-b");
 		assertThat(this.client.send("POST", "/cloud/vms", "{\"clientToken\":\"t\",\"zone\":\"zone-b\"}").statusCode())
 			.isEqualTo(503);
@@ -114,29 +114,28 @@
 		assertThat(this.client.send("GET", "/weights/plans", "").statusCode()).isEqualTo(429);
 	}
 
-	// An append that the log answered with an error takes effect all the same, later:
-	// the reader that waits for it sees its records after the caller was told 503.
+	// An append that the log rejected with 503 still takes effect later: a waiting
+	// reader receives its records after the client has received the error.
 	@Test
-	void takesALateAppendThatItAnsweredWithAnError() throws Exception {
+	void appliesLateAppendAfterErrorResponse() throws Exception {
 		this.platform.faults().set(PlatformFault.LATE_APPENDS, 1);
 		assertThat(this.client.send("POST", "/log/leases/records", TWO_RECORDS).statusCode()).isEqualTo(503);
 		JsonNode read = this.client.json("GET", "/log/leases/records?from=0&waitMillis=20000", "");
 		assertThat(read.path("records")).hasSize(2);
 	}
 
-	// A data centre is cut off from the platform: its requests hang without an answer,
-	// and have no effect, while another data centre's listener goes on
-	// serving.
+	// A data centre is partitioned from the platform: its requests hang and have no
+	// effect, while the listener of another data centre continues to serve requests.
 	@Test
-	void cutsOffThoseWhoUseASilentListener() throws Exception {
+	void silencedListenerIsolatesItsClients() throws Exception {
 		this.platform.faults().set(PlatformFault.SILENT_LISTENERS, "north1");
-		StandinClient cutOff = new StandinClient(this.platform.address("north1"));
-		StandinClient other = new StandinClient(this.platform.address("north2"));
-		assertThatExceptionOfType(HttpTimeoutException.class)
-			.isThrownBy(() -> cutOff.sendWithin(Duration.ofMillis(300), "POST", "/log/leases/records", TWO_RECORDS));
-		assertThat(other.json("GET", "/log/leases/records", "").path("endOffset").asInt()).isZero();
+		StandinClient isolatedClient = new StandinClient(this.platform.address("north1"));
+		StandinClient otherClient = new StandinClient(this.platform.address("north2"));
+		assertThatExceptionOfType(HttpTimeoutException.class).isThrownBy(
+				() -> isolatedClient.sendWithin(Duration.ofMillis(300), "POST", "/log/leases/records", TWO_RECORDS));
+		assertThat(otherClient.json("GET", "/log/leases/records", "").path("endOffset").asInt()).isZero();
 		this.platform.faults().set(PlatformFault.SILENT_LISTENERS, "");
-		assertThat(cutOff.send("GET", "/vms", "").statusCode()).isEqualTo(200);
+		assertThat(isolatedClient.send("GET", "/vms", "").statusCode()).isEqualTo(200);
 	}
 
 }
