--- a/banyancove-standins/src/main/java/org/banyancove/standins/LoadCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/LoadCommand.java
@@ -96,7 +96,7 @@
 		try (LoadRun run = new LoadRun(options())) {
 			LoadReport report = run.run();
 			output.println(this.json ? Json.MAPPER.writeValueAsString(report) : report.toTable());
-			return report.allWholeAndRight() ? ExitCode.SUCCESS : ExitCode.FAILURE;
+			return report.allCompleteAndCorrect() ? ExitCode.SUCCESS : ExitCode.FAILURE;
 		}
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/CallResult.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/CallResult.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What came of one request.
+ * The result of one request.
  *
- * @param outcome one of the constants here, a status with its code, or an exception's
- * name
- * @param firstToken the time to the answer's first token or byte
- * @param total the time to its end
+ * @param outcome one of the constants of this class, an HTTP status with its error code,
+ * or the simple name of an exception
+ * @param firstToken the time to the response's first token or byte
+ * @param total the time to the end of the response
  */
 record CallResult(String outcome, Duration firstToken, Duration total) {
 
@@ -16,7 +16,7 @@
 
 	static final String INCOMPLETE = "200 incomplete";
 
-	static final String WRONG = "200 wrong text";
+	static final String INCORRECT = "200 wrong text";
 
 	boolean isSuccess() {
 		return this.outcome.equals(SUCCESS);
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadCaller.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadCaller.java
@@ -21,13 +21,14 @@
 import org.banyancove.standins.support.Json;
 
 /**
- * Sends planned requests to one side and judges the answers. Safe for many threads.
+ * Sends planned requests to one side and validates the responses. This class is
+ * thread-safe.
  */
 final class LoadCaller implements AutoCloseable {
 
-	private static final String DATA = "data: ";
+	private static final String DATA_FIELD = "data: ";
 
-	private static final String DONE = "[DONE]";
+	private static final String END_OF_STREAM = "[DONE]";
 
 	private final HttpClient client = HttpClient.newBuilder()
 		.version(HttpClient.Version.HTTP_1_1)
@@ -49,28 +50,28 @@
 	}
 
 	/**
-	 * Sends a request and reads its answer.
+	 * Sends a request and reads its response.
 	 * @param planned the request
-	 * @param begun when it was due, by {@link System#nanoTime()}: a request that had to
-	 * wait for its turn counts the wait
-	 * @return what came of it
+	 * @param startNanos the {@link System#nanoTime()} at which the request was due, so
+	 * that the measured times include any queueing delay
+	 * @return the result
 	 * @throws InterruptedException if the load is stopped
 	 */
-	CallResult call(PlannedRequest planned, long begun) throws InterruptedException {
-		Reading reading = new Reading(begun);
+	CallResult call(PlannedRequest planned, long startNanos) throws InterruptedException {
+		ResponseTimer timer = new ResponseTimer(startNanos);
 		try {
 			HttpResponse<InputStream> response = this.client.send(request(planned),
 					HttpResponse.BodyHandlers.ofInputStream());
 			try (InputStream body = response.body()) {
 				ScheduledFuture<?> deadline = this.deadlines.schedule(() -> close(body),
 						this.options.volume().timeout().toMillis(), TimeUnit.MILLISECONDS);
-				String outcome = read(planned, response, body, reading);
+				String outcome = read(planned, response, body, timer);
 				deadline.cancel(false);
-				return reading.result(outcome);
+				return timer.result(outcome);
 			}
 		}
 		catch (IOException ex) {
-			return reading.result(ex.getClass().getSimpleName());
+			return timer.result(ex.getClass().getSimpleName());
 		}
 	}
 
@@ -104,56 +105,57 @@
 				planned.streamed(), null);
 	}
 
-	private String read(PlannedRequest planned, HttpResponse<InputStream> response, InputStream body, Reading reading)
-			throws IOException {
+	private String read(PlannedRequest planned, HttpResponse<InputStream> response, InputStream body,
+			ResponseTimer timer) throws IOException {
 		if (response.statusCode() != 200) {
 			body.readAllBytes();
-			return refusal(response);
+			return errorOutcome(response);
 		}
 		if (planned.kind() == PlannedRequest.Kind.CALL) {
-			reading.firstByte();
+			timer.firstByte();
 			return (body.readAllBytes().length > 0) ? CallResult.SUCCESS : CallResult.INCOMPLETE;
 		}
-		String text = planned.streamed() ? readEvents(body, reading) : readWhole(body, reading);
+		String text = planned.streamed() ? readEvents(body, timer) : readUnstreamed(body, timer);
 		String model = this.options.chats().answerModel();
-		if (text.endsWith(DONE)) {
+		if (text.endsWith(END_OF_STREAM)) {
 			String expected = new TokenText(model, planned.messages()).text(0, this.options.chats().maxTokens());
-			return (model.isEmpty() || text.equals(expected + DONE)) ? CallResult.SUCCESS : CallResult.WRONG;
+			return (model.isEmpty() || text.equals(expected + END_OF_STREAM)) ? CallResult.SUCCESS
+					: CallResult.INCORRECT;
 		}
 		return CallResult.INCOMPLETE;
 	}
 
-	private static String readEvents(InputStream body, Reading reading) throws IOException {
+	private static String readEvents(InputStream body, ResponseTimer timer) throws IOException {
 		StringBuilder text = new StringBuilder();
 		BufferedReader lines = new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8));
 		for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-			if (!line.startsWith(DATA)) {
+			if (!line.startsWith(DATA_FIELD)) {
 				continue;
 			}
-			reading.firstByte();
-			String data = line.substring(DATA.length());
-			text.append(data.equals(DONE) ? DONE : content(data, "delta"));
+			timer.firstByte();
+			String data = line.substring(DATA_FIELD.length());
+			text.append(data.equals(END_OF_STREAM) ? END_OF_STREAM : content(data, "delta"));
 		}
 		return text.toString();
 	}
 
-	private static String readWhole(InputStream body, Reading reading) throws IOException {
-		String answer = new String(body.readAllBytes(), StandardCharsets.UTF_8);
-		reading.firstByte();
-		return content(answer, "message") + DONE;
+	private static String readUnstreamed(InputStream body, ResponseTimer timer) throws IOException {
+		String json = new String(body.readAllBytes(), StandardCharsets.UTF_8);
+		timer.firstByte();
+		return content(json, "message") + END_OF_STREAM;
 	}
 
 	private static String content(String json, String field) throws IOException {
-		JsonNode answer = Json.MAPPER.readTree(json);
-		return answer.path("choices").path(0).path(field).path("content").asText();
+		JsonNode response = Json.MAPPER.readTree(json);
+		return response.path("choices").path(0).path(field).path("content").asText();
 	}
 
-	private static String refusal(HttpResponse<?> response) {
+	private static String errorOutcome(HttpResponse<?> response) {
 		int status = response.statusCode();
 		String code = response.headers().firstValue("X-Error-Code").map((value) -> " " + value).orElse("");
-		boolean comeBack = status == 429 || status == 503;
-		boolean told = response.headers().firstValue("Retry-After").isPresent();
-		return status + code + ((comeBack && !told) ? " without Retry-After" : "");
+		boolean retryable = status == 429 || status == 503;
+		boolean hasRetryAfter = response.headers().firstValue("Retry-After").isPresent();
+		return status + code + ((retryable && !hasRetryAfter) ? " without Retry-After" : "");
 	}
 
 	private static void close(InputStream body) {
@@ -161,21 +163,21 @@
 			body.close();
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("The answer's body does not close", ex);
+			throw new IllegalStateException("Failed to close the response body", ex);
 		}
 	}
 
 	private record Booking(String note) {
 	}
 
-	private static final class Reading {
+	private static final class ResponseTimer {
 
-		private final long begun;
+		private final long startNanos;
 
 		private long firstByte;
 
-		Reading(long begun) {
-			this.begun = begun;
+		ResponseTimer(long startNanos) {
+			this.startNanos = startNanos;
 		}
 
 		void firstByte() {
@@ -187,7 +189,8 @@
 		CallResult result(String outcome) {
 			long ended = System.nanoTime();
 			long first = (this.firstByte != 0) ? this.firstByte : ended;
-			return new CallResult(outcome, Duration.ofNanos(first - this.begun), Duration.ofNanos(ended - this.begun));
+			return new CallResult(outcome, Duration.ofNanos(first - this.startNanos),
+					Duration.ofNanos(ended - this.startNanos));
 		}
 
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadOptions.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadOptions.java
@@ -11,14 +11,14 @@
 /**
  * The options of a load.
  *
- * @param target where the system is called
- * @param direct where the stand-ins are called beside it, or {@code null}
- * @param volume how much is sent
- * @param chats the chats that are sent
- * @param calls the plain calls that are sent
- * @param credentials the credentials of the accounts; one that is given twice is used
- * twice as often
- * @param seed the seed of everything random
+ * @param target the URIs of the system
+ * @param direct the URIs of the stand-ins for direct calls, or {@code null}
+ * @param volume the number and rate of requests
+ * @param chats the properties of chats
+ * @param calls the properties of plain calls
+ * @param credentials the credentials of the accounts; a repeated credential is used
+ * proportionally more often
+ * @param seed the seed of the random number generator
  */
 public record LoadOptions(Side target, @Nullable Side direct, Volume volume, Chats chats, Calls calls,
 		List<String> credentials, long seed) {
@@ -41,17 +41,18 @@
 		}
 	}
 
-	private static void requireBetween(String name, double value, double least, double most) {
-		if (value < least || value > most) {
-			throw new IllegalArgumentException(name + " must be from " + least + " to " + most + " but is " + value);
+	private static void requireBetween(String name, double value, double minimum, double maximum) {
+		if (value < minimum || value > maximum) {
+			throw new IllegalArgumentException(
+					name + " must be from " + minimum + " to " + maximum + " but is " + value);
 		}
 	}
 
 	/**
-	 * Where one side is called.
+	 * The URIs of one side.
 	 *
 	 * @param chatBase the scheme, host and port for chats
-	 * @param model the model to name in chats
+	 * @param model the model named in chats
 	 * @param callBase the scheme, host and port for plain calls
 	 * @param callPath the path of plain calls
 	 */
@@ -69,20 +70,21 @@
 	}
 
 	/**
-	 * How much is sent.
+	 * The number and rate of requests.
 	 *
-	 * @param requests how many requests are measured, on each side
-	 * @param warmUp how many requests go before them unmeasured
-	 * @param concurrency how many requests are open at most
-	 * @param perSecond how many are begun a second, or zero to begin one whenever another
-	 * one ends
-	 * @param timeout how long one request may take
+	 * @param requests the number of measured requests on each side
+	 * @param warmUp the number of unmeasured requests before them
+	 * @param concurrency the maximum number of requests in flight
+	 * @param perSecond the request rate of an open loop, or zero for a closed loop, which
+	 * sends a request whenever another one completes
+	 * @param timeout the timeout of one request
 	 */
 	public record Volume(int requests, int warmUp, int concurrency, double perSecond, Duration timeout) {
 
 		/**
 		 * Creates the volume.
-		 * @throws IllegalArgumentException if it is beyond what one machine should bear
+		 * @throws IllegalArgumentException if a number exceeds what is reasonable on one
+		 * machine
 		 */
 		public Volume {
 			requireBetween("requests", requests, 1, 1_000_000);
@@ -94,15 +96,15 @@
 	}
 
 	/**
-	 * The chats that are sent.
+	 * The properties of chats.
 	 *
 	 * @param share the share of chats among all requests
-	 * @param streamedShare the share of streamed ones among the chats
-	 * @param promptWords how many words a prompt has
-	 * @param prefixes among how many shared beginnings, of three quarters of the words, a
-	 * prompt chooses
-	 * @param maxTokens how many tokens are asked for
-	 * @param answerModel the model whose text is expected, or empty not to check the text
+	 * @param streamedShare the share of streamed chats among all chats
+	 * @param promptWords the number of words in a prompt
+	 * @param prefixes the number of shared prompt prefixes, each three quarters of the
+	 * words, from which a prompt selects one
+	 * @param maxTokens the requested number of tokens
+	 * @param answerModel the model whose text is expected, or empty to skip the check
 	 */
 	public record Chats(double share, double streamedShare, int promptWords, int prefixes, int maxTokens,
 			String answerModel) {
@@ -122,10 +124,10 @@
 	}
 
 	/**
-	 * The plain calls that are sent.
+	 * The properties of plain calls.
 	 *
-	 * @param keyPrefix the beginning of their idempotency keys, new for each run
-	 * @param keyed whether they have keys
+	 * @param keyPrefix the prefix of idempotency keys, unique for each run
+	 * @param keyed whether calls have idempotency keys
 	 */
 	public record Calls(String keyPrefix, boolean keyed) {
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadPlan.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadPlan.java
@@ -10,12 +10,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The requests of a load in their order: the same seed gives the same ones. Safe for many
- * threads.
+ * The sequence of requests of a load, which is determined by the seed. This class is
+ * thread-safe.
  */
 final class LoadPlan {
 
-	private static final int VOCABULARY = 4_096;
+	private static final int VOCABULARY_SIZE = 4_096;
 
 	private final LoadOptions options;
 
@@ -23,7 +23,7 @@
 
 	private final List<String> prefixes;
 
-	private int next;
+	private int nextIndex;
 
 	LoadPlan(LoadOptions options) {
 		this.options = options;
@@ -37,15 +37,15 @@
 	 * @return the request, or {@code null} after the last one
 	 */
 	synchronized @Nullable PlannedRequest next() {
-		if (this.next >= this.options.volume().requests() + this.options.volume().warmUp()) {
+		if (this.nextIndex >= this.options.volume().requests() + this.options.volume().warmUp()) {
 			return null;
 		}
 		boolean chat = this.random.nextDouble() < this.options.chats().share();
 		boolean streamed = this.random.nextDouble() < this.options.chats().streamedShare();
 		List<ChatRequest.Message> messages = chat ? List.of(new ChatRequest.Message("user", prompt())) : List.of();
-		PlannedRequest request = new PlannedRequest(this.next, chat && streamed, messages, credential(),
+		PlannedRequest request = new PlannedRequest(this.nextIndex, chat && streamed, messages, credential(),
 				this.random.nextBoolean());
-		this.next++;
+		this.nextIndex++;
 		return request;
 	}
 
@@ -62,7 +62,7 @@
 
 	private String words(int count) {
 		return IntStream.range(0, count)
-			.mapToObj((index) -> "w" + this.random.nextInt(VOCABULARY))
+			.mapToObj((index) -> "w" + this.random.nextInt(VOCABULARY_SIZE))
 			.collect(Collectors.joining(" "));
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadReport.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadReport.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * What a load measured.
+ * The measurements of a load.
  *
  * @param seed the seed
- * @param concurrency how many requests were open at most
- * @param perSecond the rate that was asked for, zero for a closed loop
- * @param seconds how long the measured part took
- * @param lines a line for each side and kind
+ * @param concurrency the maximum number of requests in flight
+ * @param perSecond the configured request rate, zero for a closed loop
+ * @param seconds the duration of the measured part
+ * @param lines the results of each side and kind
  */
 public record LoadReport(long seed, int concurrency, double perSecond, double seconds, List<Line> lines) {
 
@@ -23,19 +23,19 @@
 	}
 
 	/**
-	 * Returns whether no answer was wrong or incomplete. Refusals are told apart by their
-	 * codes and count as neither.
-	 * @return whether all answers that came were whole and right
+	 * Returns whether all successful responses were complete and correct. Rejections
+	 * count as neither incomplete nor incorrect; their outcomes distinguish them by code.
+	 * @return whether no response was incomplete or incorrect
 	 */
-	public boolean allWholeAndRight() {
+	public boolean allCompleteAndCorrect() {
 		return this.lines.stream()
 			.noneMatch((line) -> line.outcomes().containsKey(CallResult.INCOMPLETE)
-					|| line.outcomes().containsKey(CallResult.WRONG));
+					|| line.outcomes().containsKey(CallResult.INCORRECT));
 	}
 
 	/**
-	 * Writes the report as a table.
-	 * @return the table, times in milliseconds
+	 * Formats the report as a table.
+	 * @return the table, with times in milliseconds
 	 */
 	public String toTable() {
 		StringBuilder table = new StringBuilder(
@@ -52,17 +52,18 @@
 	}
 
 	/**
-	 * The results of one side and kind; times in milliseconds, of successes alone.
+	 * The results of one side and kind. Times are in milliseconds and of successful
+	 * requests only.
 	 *
 	 * @param side {@code target} or {@code direct}
 	 * @param kind {@code chat} or {@code call}
-	 * @param succeeded how many answers were whole and right
-	 * @param perSecond how many of them there were a second
+	 * @param succeeded the number of complete and correct responses
+	 * @param perSecond the number of such responses per second
 	 * @param firstTokenP50 the median time to the first token
-	 * @param firstTokenP99 the 99th percentile of it
-	 * @param totalP50 the median time to the end
-	 * @param totalP99 the 99th percentile of it
-	 * @param outcomes how many requests had each outcome
+	 * @param firstTokenP99 the 99th percentile of the time to the first token
+	 * @param totalP50 the median total time
+	 * @param totalP99 the 99th percentile of the total time
+	 * @param outcomes the number of requests by outcome
 	 */
 	public record Line(String side, String kind, long succeeded, double perSecond, double firstTokenP50,
 			double firstTokenP99, double totalP50, double totalP99, Map<String, Long> outcomes) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadRun.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/LoadRun.java
@@ -12,8 +12,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One run of a load: each request goes to the system and, in an order drawn for each, to
- * the stand-in directly, so that both sides see the same machine in the same state.
+ * One run of a load. Each request is sent to the system and directly to the stand-in, in
+ * random order, so that both sides are measured under the same machine conditions.
  */
 public final class LoadRun implements AutoCloseable {
 
@@ -31,11 +31,11 @@
 
 	private final SideStatistics direct = new SideStatistics("direct");
 
-	private final AtomicLong measuredFrom = new AtomicLong();
+	private final AtomicLong measurementStart = new AtomicLong();
 
 	/**
 	 * Creates the run.
-	 * @param options its options
+	 * @param options the options
 	 */
 	public LoadRun(LoadOptions options) {
 		this.options = options;
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Sends all requests and waits for their ends.
+	 * Sends all requests and waits for their completion.
 	 * @return the report
 	 * @throws InterruptedException if the thread is interrupted
 	 */
@@ -55,10 +55,10 @@
 				sendAtRate(executor);
 			}
 			else {
-				sendInLoops(executor);
+				sendInClosedLoops(executor);
 			}
 		}
-		Duration elapsed = Duration.ofNanos(System.nanoTime() - this.measuredFrom.get());
+		Duration elapsed = Duration.ofNanos(System.nanoTime() - this.measurementStart.get());
 		List<LoadReport.Line> lines = new ArrayList<>(this.target.lines(elapsed));
 		lines.addAll(this.direct.lines(elapsed));
 		return new LoadReport(this.options.seed(), this.options.volume().concurrency(),
@@ -73,44 +73,44 @@
 		}
 	}
 
-	private void sendInLoops(ExecutorService executor) {
+	private void sendInClosedLoops(ExecutorService executor) {
 		for (int loop = 0; loop < this.options.volume().concurrency(); loop++) {
 			executor.execute(() -> {
 				for (PlannedRequest next = this.plan.next(); next != null; next = this.plan.next()) {
-					sendToBoth(next, null);
+					sendToBothSides(next, null);
 				}
 			});
 		}
 	}
 
 	private void sendAtRate(ExecutorService executor) throws InterruptedException {
-		Semaphore open = new Semaphore(this.options.volume().concurrency());
-		long begun = System.nanoTime();
+		Semaphore permits = new Semaphore(this.options.volume().concurrency());
+		long startNanos = System.nanoTime();
 		for (PlannedRequest next = this.plan.next(); next != null; next = this.plan.next()) {
 			PlannedRequest request = next;
-			long due = begun + (long) (request.index() / this.options.volume().perSecond() * NANOS_PER_SECOND);
+			long due = startNanos + (long) (request.index() / this.options.volume().perSecond() * NANOS_PER_SECOND);
 			TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
-			open.acquire();
+			permits.acquire();
 			executor.execute(() -> {
-				sendToBoth(request, due);
-				open.release();
+				sendToBothSides(request, due);
+				permits.release();
 			});
 		}
 	}
 
-	private void sendToBoth(PlannedRequest request, @Nullable Long due) {
-		LoadCaller beside = this.directCaller;
+	private void sendToBothSides(PlannedRequest request, @Nullable Long due) {
+		LoadCaller direct = this.directCaller;
 		try {
-			if (beside == null) {
+			if (direct == null) {
 				send(this.targetCaller, this.target, request, due);
 			}
 			else if (request.directFirst()) {
-				send(beside, this.direct, request, due);
+				send(direct, this.direct, request, due);
 				send(this.targetCaller, this.target, request, null);
 			}
 			else {
 				send(this.targetCaller, this.target, request, due);
-				send(beside, this.direct, request, null);
+				send(direct, this.direct, request, null);
 			}
 		}
 		catch (InterruptedException ex) {
@@ -122,7 +122,7 @@
 			throws InterruptedException {
 		boolean measured = request.index() >= this.options.volume().warmUp();
 		if (measured) {
-			this.measuredFrom.compareAndSet(0, System.nanoTime());
+			this.measurementStart.compareAndSet(0, System.nanoTime());
 		}
 		CallResult result = caller.call(request, (due != null) ? due : System.nanoTime());
 		if (measured) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/PlannedRequest.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/PlannedRequest.java
@@ -6,9 +6,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request before it is sent to either side.
+ * A request to be sent to both sides.
  *
- * @param index its place in the load
+ * @param index the index in the load
  * @param streamed whether a chat is streamed
  * @param messages a chat's messages, empty for a plain call
  * @param credential the account's credential, or {@code null}
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	 * The kinds of request, which are measured apart.
+	 * The kind of a request. Kinds are measured separately.
 	 */
 	enum Kind {
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/SideStatistics.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/SideStatistics.java
@@ -10,11 +10,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The measured results of one side, by kind. Safe for many threads.
+ * The measured results of one side, by kind. This class is thread-safe.
  */
 final class SideStatistics {
 
-	private static final int DIGITS = 3;
+	private static final int SIGNIFICANT_DIGITS = 3;
 
 	private static final double MICROS_PER_MILLI = 1_000;
 
@@ -27,7 +27,7 @@
 	}
 
 	synchronized void record(PlannedRequest.Kind kind, CallResult result) {
-		KindStatistics statistics = this.kinds.computeIfAbsent(kind, (absent) -> new KindStatistics());
+		KindStatistics statistics = this.kinds.computeIfAbsent(kind, (key) -> new KindStatistics());
 		statistics.outcomes.merge(result.outcome(), 1L, Long::sum);
 		if (result.isSuccess()) {
 			statistics.firstToken.recordValue(micros(result.firstToken()));
@@ -59,9 +59,9 @@
 
 		private final Map<String, Long> outcomes = new TreeMap<>();
 
-		private final Histogram firstToken = new Histogram(DIGITS);
+		private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
 
-		private final Histogram total = new Histogram(DIGITS);
+		private final Histogram total = new Histogram(SIGNIFICANT_DIGITS);
 
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/load/package-info.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A bounded load over loopback that measures an entry beside a stand-in called directly.
+ * Load generator for loopback that compares an entry with direct calls of a stand-in.
  */
 @NullMarked
 package org.banyancove.standins.load;
--- a/banyancove-standins/src/test/java/org/banyancove/standins/load/LoadRunTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/load/LoadRunTests.java
@@ -43,28 +43,28 @@
 	}
 
 	@Test
-	void sendsAtARateAndCountsRefusalsByCode() throws Exception {
+	void sendsAtRateAndCountsErrorResponsesByCode() throws Exception {
 		this.service.faults().set(ServiceFault.ERROR_STATUS, 503);
 		LoadReport report = run(0, 2_000, false);
 		assertThat(report.lines().getFirst().outcomes()).isEqualTo(Map.of("503 without Retry-After", 40L));
 	}
 
-	// A caller whose stream ends early has no error to see, only text that is too short:
-	// the load compares it with the text that the engine's model must give.
+	// A truncated stream ends without an error, only with too little text. The load
+	// compares the text with the one that the engine's model must generate.
 	@Test
-	void tellsTruncatedAndScrambledAnswersFromWholeOnes() throws Exception {
+	void distinguishesTruncatedAndCorruptedResponsesFromCompleteOnes() throws Exception {
 		this.engine.faults().set(EngineFault.TRUNCATE_STREAMS, 3);
 		LoadReport truncated = run(1, 0, false);
-		assertThat(truncated.allWholeAndRight()).isFalse();
+		assertThat(truncated.allCompleteAndCorrect()).isFalse();
 		assertThat(truncated.lines().getFirst().outcomes()).isEqualTo(Map.of("200", 37L, "200 incomplete", 3L));
 		this.engine.faults().set(EngineFault.REPEAT_PIECES, 2);
 		assertThat(run(1, 0, false).lines().getFirst().outcomes()).isEqualTo(Map.of("200", 38L, "200 wrong text", 2L));
 	}
 
 	@Test
-	void refusesTargetsThatAreNotOnLoopback() {
-		URI elsewhere = URI.create("http://192.0.2.1:80");
-		assertThatIllegalArgumentException().isThrownBy(() -> new LoadOptions.Side(elsewhere, "plans", elsewhere, "/"))
+	void rejectsTargetsOutsideLoopback() {
+		URI remote = URI.create("http://192.0.2.1:80");
+		assertThatIllegalArgumentException().isThrownBy(() -> new LoadOptions.Side(remote, "plans", remote, "/"))
 			.withMessageContaining("loopback only");
 	}
 
