--- a/banyancove-standins/src/main/java/org/banyancove/standins/AddressConverter.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/AddressConverter.java
@@ -6,7 +6,7 @@
 import com.beust.jcommander.ParameterException;
 
 /**
- * Reads an address on the loopback interface, as {@code 127.0.0.1:port}.
+ * Converts a loopback address in the form {@code 127.0.0.1:port}.
  */
 public final class AddressConverter implements IStringConverter<InetSocketAddress> {
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/DurationConverter.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/DurationConverter.java
@@ -7,7 +7,7 @@
 import org.banyancove.program.DurationText;
 
 /**
- * Reads a duration with its unit.
+ * Converts a duration with a unit.
  */
 public final class DurationConverter implements IStringConverter<Duration> {
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/EngineCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/EngineCommand.java
@@ -13,12 +13,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs a model engine.
+ * Runs the stand-in of a model engine.
  */
 @Parameters(commandDescription = "A model engine")
 final class EngineCommand implements StandinCommand {
 
-	private static final int CRASHED = 137;
+	private static final int CRASH_EXIT_STATUS = 137;
 
 	@Parameter(names = "--address", converter = AddressConverter.class, description = "The address to listen on")
 	private InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -59,7 +59,7 @@
 			.withLimits(this.slots, this.prefixCacheTokens)
 			.withReportLag(this.reportLag)
 			.withCheckFence(this.checkFence)
-			.withOnCrash(() -> Runtime.getRuntime().halt(CRASHED));
+			.withOnCrash(() -> Runtime.getRuntime().halt(CRASH_EXIT_STATUS));
 		if (this.weightStore != null) {
 			options = options.withWeightStore(this.weightStore);
 		}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/LoadCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/LoadCommand.java
@@ -19,7 +19,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs a load.
+ * Runs the load generator.
  */
 @Parameters(commandDescription = "A bounded load over loopback, of the system and of stand-ins called directly")
 final class LoadCommand implements StandinCommand {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/PlatformCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/PlatformCommand.java
@@ -22,7 +22,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs the platform.
+ * Runs the stand-in of the platform.
  */
 @Parameters(commandDescription = "The platform: log, VM list, notices, cloud API and weight store")
 final class PlatformCommand implements StandinCommand {
@@ -59,20 +59,20 @@
 
 	@Override
 	public ExitCode run(PrintStream output) throws IOException, InterruptedException {
-		List<VmDescription> listed = new ArrayList<>(this.vms.stream().map(VmDescription::parse).toList());
+		List<VmDescription> listedVms = new ArrayList<>(this.vms.stream().map(VmDescription::parse).toList());
 		if (this.vmFile != null) {
-			listed.addAll(Arrays.asList(Json.MAPPER.readValue(this.vmFile.toFile(), VmDescription[].class)));
+			listedVms.addAll(Arrays.asList(Json.MAPPER.readValue(this.vmFile.toFile(), VmDescription[].class)));
 		}
 		PlatformOptions options = PlatformOptions.defaults()
 			.withAddress(this.address)
-			.withVms(listed)
+			.withVms(listedVms)
 			.withListLagAndRetention(this.listLag, this.retention)
 			.withRates(this.appendsPerSecond, this.weightLoadsPerSecond)
 			.withPrices(this.prices.stream().map(Price::parse).toList())
 			.withListeners(this.listeners);
 		PlatformStandin platform = new PlatformStandin(options).start();
-		this.listeners
-			.forEach((name) -> output.println("listener " + name + " " + StandinCommand.text(platform.address(name))));
+		this.listeners.forEach(
+				(name) -> output.println("listener " + name + " " + StandinCommand.format(platform.address(name))));
 		return StandinCommand.serve(platform, platform.address(), output);
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/ServiceCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/ServiceCommand.java
@@ -12,7 +12,7 @@
 import org.banyancove.standins.service.ServiceStandin;
 
 /**
- * Runs a plain service.
+ * Runs the stand-in of a plain service.
  */
 @Parameters(commandDescription = "A plain service that counts its runs")
 final class ServiceCommand implements StandinCommand {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/StandinCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/StandinCommand.java
@@ -7,22 +7,22 @@
 import org.banyancove.program.ExitCode;
 
 /**
- * A command of the program, with its options parsed.
+ * A command of the program, whose fields hold the parsed options.
  */
 sealed interface StandinCommand permits PlatformCommand, EngineCommand, ServiceCommand, LoadCommand {
 
 	/**
-	 * Does the command's work.
+	 * Runs the command.
 	 * @param output where addresses and reports are printed
 	 * @return the exit code
-	 * @throws Exception if the work fails
+	 * @throws Exception if the command fails
 	 */
 	ExitCode run(PrintStream output) throws Exception;
 
 	/**
-	 * Says that a server is ready, and serves until the process is told to stop.
+	 * Prints the address of a started server and blocks until the process is terminated.
 	 * @param server the server
-	 * @param address its address
+	 * @param address the server's address
 	 * @param output where the address is printed
 	 * @return the exit code
 	 * @throws InterruptedException if the thread is interrupted
@@ -35,21 +35,21 @@
 				server.close();
 			}
 			catch (Exception ex) {
-				throw new IllegalStateException("The server does not close", ex);
+				throw new IllegalStateException("Failed to close the server", ex);
 			}
 		}));
-		output.println("listening " + text(address));
+		output.println("listening " + format(address));
 		output.flush();
 		stopped.await();
 		return ExitCode.SUCCESS;
 	}
 
 	/**
-	 * Writes an address as callers need it.
+	 * Formats an address for clients.
 	 * @param address the address
-	 * @return the host and port
+	 * @return the IP address and port
 	 */
-	static String text(InetSocketAddress address) {
+	static String format(InetSocketAddress address) {
 		return address.getAddress().getHostAddress() + ":" + address.getPort();
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/StandinsProgram.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/StandinsProgram.java
@@ -10,7 +10,7 @@
 import org.banyancove.program.ExitCode;
 
 /**
- * The program of the stand-ins: one command for each of them, and one for the load.
+ * Command line program with a command for each stand-in and one for the load generator.
  */
 public final class StandinsProgram extends CommandLineProgram<StandinsProgram.NoSettings> {
 
@@ -19,7 +19,7 @@
 	/**
 	 * Creates the program.
 	 * @param output where addresses and reports are printed
-	 * @param errors where the line that says why it ended is printed
+	 * @param errors where the reason for a failure is printed, in one line
 	 */
 	public StandinsProgram(PrintStream output, PrintStream errors) {
 		super("banyancove-standins", NoSettings.class, output, errors);
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * Runs the program and ends the process with its exit code.
+	 * Runs the program and exits with its exit code.
 	 * @param arguments the command line
 	 */
 	public static void main(String[] arguments) {
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * The stand-ins take everything from the command line.
+	 * Empty settings, because the stand-ins are configured on the command line only.
 	 */
 	public record NoSettings() {
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/WholeValueSplitter.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/WholeValueSplitter.java
@@ -5,7 +5,7 @@
 import com.beust.jcommander.converters.IParameterSplitter;
 
 /**
- * Keeps the commas in an option that is given once for each value.
+ * Returns an option's value unsplit, for repeatable options whose values contain commas.
  */
 public final class WholeValueSplitter implements IParameterSplitter {
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/package-info.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The program that runs the stand-ins and the load tool as processes. Test scaffolding.
+ * Command line program that runs the stand-ins and the load generator as processes, for
+ * tests only.
  */
 @NullMarked
 package org.banyancove.standins;
--- a/banyancove-standins/src/test/java/org/banyancove/standins/StandinsProgramTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/StandinsProgramTests.java
@@ -22,7 +22,7 @@
 	@ParameterizedTest
 	@ValueSource(strings = { "", "gateway", "engine --address 192.0.2.1:0", "platform --list-lag soon",
 			"load --target http://192.0.2.1:80", "load --target http://127.0.0.1:1 --concurrency 100000" })
-	void refusesAWrongCommandLineInOneLine(String line) {
+	void reportsInvalidCommandLineInOneLine(String line) {
 		assertThat(execute(line)).isEqualTo(ExitCode.USAGE);
 		assertThat(this.errors.toString(StandardCharsets.UTF_8).lines()).singleElement()
 			.asString()
@@ -30,7 +30,7 @@
 	}
 
 	@Test
-	void endsWhereTheAddressIsTaken() {
+	void failsIfAddressIsInUse() {
 		try (ServiceStandin service = new ServiceStandin(ServiceOptions.defaults())) {
 			assertThat(execute("engine --address 127.0.0.1:" + service.address().getPort()))
 				.isEqualTo(ExitCode.ADDRESS_IN_USE);
@@ -38,7 +38,7 @@
 	}
 
 	@Test
-	void loadsAndReports() {
+	void runsLoadAndPrintsReport() {
 		try (ServiceStandin service = new ServiceStandin(ServiceOptions.defaults()).start()) {
 			assertThat(execute(
 					"load --chat-share 0 --requests 5 --json --target http://127.0.0.1:" + service.address().getPort()))
