--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/Await.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/Await.java
@@ -4,29 +4,30 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Waits for a stated outcome. The limit is no expectation of speed: it only ends a test
- * whose outcome never comes.
+ * Waits for an expected state. The timeout states no performance requirement; it only
+ * ends a test whose expected state is never reached.
  */
 final class Await {
 
-	static final Duration LIMIT = Duration.ofSeconds(60);
+	static final Duration TIMEOUT = Duration.ofSeconds(60);
 
-	private static final Duration PAUSE = Duration.ofMillis(20);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
 	private Await() {
 	}
 
-	static void until(String outcome, BooleanSupplier reached) {
-		long end = System.nanoTime() + LIMIT.toNanos();
-		while (!reached.getAsBoolean()) {
-			if (System.nanoTime() - end > 0) {
-				throw new AssertionError("Never came: " + outcome);
+	static void until(String description, BooleanSupplier condition) {
+		long deadline = System.nanoTime() + TIMEOUT.toNanos();
+		while (!condition.getAsBoolean()) {
+			if (System.nanoTime() - deadline > 0) {
+				throw new AssertionError("Timed out waiting for: " + description);
 			}
-			pause(PAUSE);
+			pause(POLL_INTERVAL);
 		}
 	}
 
-	// Lets time pass in which a wrong program would do what it must not.
+	// Allows time for an incorrect implementation to perform an action that the
+	// test rules out.
 	static void pause(Duration duration) {
 		try {
 			Thread.sleep(duration);
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/CallAnswer.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/CallResponse.java
@@ -8,13 +8,13 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * A whole answer.
+ * A complete HTTP response.
  *
  * @param status the HTTP status
  * @param headers the headers
- * @param body the body's text
+ * @param body the body text
  */
-record CallAnswer(int status, HttpHeaders headers, String body) {
+record CallResponse(int status, HttpHeaders headers, String body) {
 
 	private static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/Caller.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/Caller.java
@@ -14,76 +14,77 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Calls entries and stand-ins as their callers do.
+ * HTTP client that sends requests to entries and stand-ins.
  */
 final class Caller {
 
 	static final String CREDENTIAL = "Bearer demo";
 
-	private static final Duration PATIENCE = Duration.ofSeconds(90);
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(90);
 
 	private final ObjectMapper mapper = new ObjectMapper();
 
 	private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-	// A call to the order service that may not run twice.
-	CallAnswer book(RunningProcess entry, String key, String body) {
-		return join(bookLater(entry, key, body));
+	// Calls the order service with a method that is run at most once.
+	CallResponse book(RunningProcess entry, String key, String body) {
+		return join(bookAsync(entry, key, body));
 	}
 
-	CompletableFuture<CallAnswer> bookLater(RunningProcess entry, String key, String body) {
+	CompletableFuture<CallResponse> bookAsync(RunningProcess entry, String key, String body) {
 		return send("POST", entry.address(), "/services/orders/deliveries", body, "Authorization", CREDENTIAL,
 				"Idempotency-Key", key);
 	}
 
-	// A call to the order service that may be repeated.
-	CompletableFuture<CallAnswer> lookLater(RunningProcess entry) {
+	// Calls the order service with a method that may be repeated.
+	CompletableFuture<CallResponse> lookUpAsync(RunningProcess entry) {
 		return send("GET", entry.address(), "/services/orders/deliveries", "", "Authorization", CREDENTIAL);
 	}
 
-	CallAnswer chat(RunningProcess entry, Plan plan) {
-		return join(chatLater(entry, plan));
+	CallResponse chat(RunningProcess entry, ModelRequest modelRequest) {
+		return join(chatAsync(entry, modelRequest));
 	}
 
-	CompletableFuture<CallAnswer> chatLater(RunningProcess entry, Plan plan) {
-		return send("POST", entry.address(), "/v1/chat/completions", body(plan, false), "Authorization", CREDENTIAL);
+	CompletableFuture<CallResponse> chatAsync(RunningProcess entry, ModelRequest modelRequest) {
+		return send("POST", entry.address(), "/v1/chat/completions", body(modelRequest, false), "Authorization",
+				CREDENTIAL);
 	}
 
-	PlanStream stream(RunningProcess entry, Plan plan) {
-		return new PlanStream(this.client, request("POST", entry.address(), "/v1/chat/completions", body(plan, true),
-				"Authorization", CREDENTIAL));
+	ResponseStream stream(RunningProcess entry, ModelRequest modelRequest) {
+		return new ResponseStream(this.client, request("POST", entry.address(), "/v1/chat/completions",
+				body(modelRequest, true), "Authorization", CREDENTIAL));
 	}
 
-	// Comes back for the whole answer, at any entry.
-	PlanStream reconnect(RunningProcess entry, String requestId) {
-		return new PlanStream(this.client, request("GET", entry.address(), "/v1/requests/" + requestId, "",
+	// Requests the complete response again, from any entry.
+	ResponseStream reconnect(RunningProcess entry, String requestId) {
+		return new ResponseStream(this.client, request("GET", entry.address(), "/v1/requests/" + requestId, "",
 				"Authorization", CREDENTIAL, "Accept", "text/event-stream"));
 	}
 
-	CallAnswer call(String method, String address, String path, String body, String... headers) {
+	CallResponse call(String method, String address, String path, String body, String... headers) {
 		return join(send(method, address, path, body, headers));
 	}
 
-	CallAnswer get(String address, String path) {
+	CallResponse get(String address, String path) {
 		return call("GET", address, path, "");
 	}
 
-	void fault(RunningProcess standin, String switches) {
-		CallAnswer answer = call("POST", standin.address(), "/standin/faults", switches);
-		if (answer.status() != 200) {
-			throw new AssertionError("Refused: " + switches + ": " + answer.body());
+	void injectFault(RunningProcess standin, String faults) {
+		CallResponse response = call("POST", standin.address(), "/standin/faults", faults);
+		if (response.status() != 200) {
+			throw new AssertionError("Fault injection rejected: " + faults + ": " + response.body());
 		}
 	}
 
-	static CallAnswer join(CompletableFuture<CallAnswer> answer) {
-		return answer.orTimeout(PATIENCE.toSeconds(), TimeUnit.SECONDS).join();
+	static CallResponse join(CompletableFuture<CallResponse> response) {
+		return response.orTimeout(RESPONSE_TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
 	}
 
-	private CompletableFuture<CallAnswer> send(String method, String address, String path, String body,
+	private CompletableFuture<CallResponse> send(String method, String address, String path, String body,
 			String... headers) {
 		return this.client
 			.sendAsync(request(method, address, path, body, headers), HttpResponse.BodyHandlers.ofString())
-			.thenApply((answer) -> new CallAnswer(answer.statusCode(), answer.headers(), answer.body()));
+			.thenApply((response) -> new CallResponse(response.statusCode(), response.headers(), response.body()));
 	}
 
 	private static HttpRequest request(String method, String address, String path, String body, String... headers) {
@@ -95,10 +96,10 @@
 		return request.build();
 	}
 
-	private String body(Plan plan, boolean stream) {
+	private String body(ModelRequest modelRequest, boolean stream) {
 		ObjectNode root = this.mapper.createObjectNode();
-		root.put("model", plan.service()).put("stream", stream).put("max_tokens", plan.tokens());
-		root.putArray("messages").addObject().put("role", "user").put("content", plan.prompt());
+		root.put("model", modelRequest.service()).put("stream", stream).put("max_tokens", modelRequest.tokens());
+		root.putArray("messages").addObject().put("role", "user").put("content", modelRequest.prompt());
 		try {
 			return this.mapper.writeValueAsString(root);
 		}
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/CrashingRequestTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/CrashingRequestTests.java
@@ -16,8 +16,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * A request that crashes each engine which runs it, among innocent ones and in a wave of
- * reclaims, in separate processes.
+ * Tests of a request that crashes every engine that runs it, alongside harmless requests
+ * and during a wave of reclaims, with separate processes.
  */
 class CrashingRequestTests {
 
@@ -27,20 +27,20 @@
 
 	private static final int ENGINES = 6;
 
-	private static final int INNOCENTS = 6;
+	private static final int HARMLESS_REQUESTS = 6;
 
 	private static final int TOKENS = 250;
 
-	private static final Duration NOTICE = Duration.ofSeconds(20);
+	private static final Duration NOTICE_PERIOD = Duration.ofSeconds(20);
 
-	private static final String CONVICTED = "request_crashes_endpoints";
+	private static final String CRASHING_REQUEST_CODE = "request_crashes_endpoints";
 
 	@TempDir
 	private static Path directory;
 
 	private static ProcessCluster cluster;
 
-	private static int started;
+	private static int startedCount;
 
 	private final Caller caller = cluster.caller();
 
@@ -48,11 +48,11 @@
 	static void start() {
 		cluster = new ProcessCluster(directory);
 		startEngines();
-		cluster.platform(MAHEBOURG, TROU_DEAU);
-		cluster.entry("entry-1", MAHEBOURG);
-		cluster.entry("entry-2", MAHEBOURG);
-		cluster.entry("entry-3", TROU_DEAU);
-		cluster.publish(ProcessCluster.DAWN_CREATED, ProcessCluster.FEED_PLANNING_CREATED);
+		cluster.startPlatform(MAHEBOURG, TROU_DEAU);
+		cluster.startEntry("entry-1", MAHEBOURG);
+		cluster.startEntry("entry-2", MAHEBOURG);
+		cluster.startEntry("entry-3", TROU_DEAU);
+		cluster.publish(ProcessCluster.FEED_PLANNING_PROFILE_CREATED, ProcessCluster.FEED_PLANNING_SERVICE_CREATED);
 	}
 
 	@AfterAll
@@ -67,85 +67,88 @@
 	}
 
 	@AfterEach
-	void noPromiseWasBroken() {
+	void assertNoInvariantViolations() {
 		assertThat(cluster.invariantViolations()).isZero();
 	}
 
-	// A client sends a request that crashes every engine it runs at, and repeats it
-	// through the other entries meanwhile. Engines go down with innocent plans on them;
-	// the innocent ones move and end whole, the guilty one gets its final answer. From
-	// then on that answer comes from every entry, and no engine is lost to it.
+	// A client sends a request that crashes every engine that runs it, and sends it
+	// through the other entries at the same time. Harmless requests on the crashed
+	// engines move to other engines and complete, and the crashing request receives
+	// its final error. From then on every entry returns that error, and the request
+	// crashes no further engine.
 	@Test
-	void aRequestThatCrashesEnginesIsStoppedEverywhere() {
-		cluster.engines().forEach((engine) -> this.caller.fault(engine, "{\"crashOnWord\":\"guilty\"}"));
-		List<Innocent> innocents = beginInnocents("beside another");
-		Plan guilty = Plan.of("A guilty request", TOKENS);
-		List<CompletableFuture<CallAnswer>> answers = new ArrayList<>();
-		cluster.entries().forEach((entry) -> answers.add(this.caller.chatLater(entry, guilty)));
-		answers.forEach((answer) -> assertConvicted(Caller.join(answer)));
-		innocents.forEach(Innocent::assertWhole);
-		int left = cluster.engines().size();
-		assertThat(left).isBetween(1, ENGINES - 2);
+	void requestThatCrashesEnginesIsRejectedByEveryEntry() {
+		cluster.engines().forEach((engine) -> this.caller.injectFault(engine, "{\"crashOnWord\":\"guilty\"}"));
+		List<HarmlessRequest> harmlessRequests = startHarmlessRequests("beside another");
+		ModelRequest crashingRequest = ModelRequest.of("A guilty request", TOKENS);
+		List<CompletableFuture<CallResponse>> responses = new ArrayList<>();
+		cluster.entries().forEach((entry) -> responses.add(this.caller.chatAsync(entry, crashingRequest)));
+		responses.forEach((response) -> assertRejectedAsCrashing(Caller.join(response)));
+		harmlessRequests.forEach(HarmlessRequest::assertComplete);
+		int remainingEngineCount = cluster.engines().size();
+		assertThat(remainingEngineCount).isBetween(1, ENGINES - 2);
 		for (RunningProcess entry : cluster.entries()) {
-			assertConvicted(this.caller.chat(entry, guilty));
+			assertRejectedAsCrashing(this.caller.chat(entry, crashingRequest));
 		}
-		assertThat(cluster.engines()).hasSize(left);
+		assertThat(cluster.engines()).hasSize(remainingEngineCount);
 	}
 
-	// An engine vanishes without a notice, and then two more of its zone get theirs and
-	// go, with plans on all of them. That looks like crashes, but is a wave: the plans
-	// end whole, and the same request is served again at every entry.
+	// An engine is lost without a notice, then two more engines of its zone receive
+	// notices and are lost, all with requests in flight. This resembles crashes but
+	// is a wave of reclaims: the requests complete, and every entry still serves
+	// the same request.
 	@Test
-	void aWaveOfReclaimsConvictsNobody() {
-		List<Innocent> innocents = beginInnocents("in a wave");
-		List<RunningProcess> ofTheZone = cluster.engines(MAHEBOURG);
-		ofTheZone.getFirst().kill();
-		List<RunningProcess> noticed = ofTheZone.subList(1, ofTheZone.size());
-		noticed.forEach((engine) -> cluster.announceReclaim(engine, NOTICE));
+	void reclaimWaveCausesNoRejections() {
+		List<HarmlessRequest> harmlessRequests = startHarmlessRequests("in a wave");
+		List<RunningProcess> enginesInZone = cluster.engines(MAHEBOURG);
+		enginesInZone.getFirst().kill();
+		List<RunningProcess> noticedEngines = enginesInZone.subList(1, enginesInZone.size());
+		noticedEngines.forEach((engine) -> cluster.sendReclaimNotice(engine, NOTICE_PERIOD));
 		for (RunningProcess entry : cluster.entries()) {
-			Await.until("the notices are known",
-					() -> cluster.endpointsInState(entry, "LEAVING").size() >= noticed.size());
+			Await.until("the notices are received",
+					() -> cluster.endpointsInState(entry, "LEAVING").size() >= noticedEngines.size());
 		}
-		noticed.forEach(RunningProcess::kill);
-		innocents.forEach(Innocent::assertWhole);
+		noticedEngines.forEach(RunningProcess::kill);
+		harmlessRequests.forEach(HarmlessRequest::assertComplete);
 		for (RunningProcess entry : cluster.entries()) {
-			Plan again = innocents.getFirst().plan();
-			assertThat(this.caller.chat(entry, again).text()).isEqualTo(again.wholeText());
+			ModelRequest again = harmlessRequests.getFirst().modelRequest();
+			assertThat(this.caller.chat(entry, again).text()).isEqualTo(again.expectedText());
 		}
 	}
 
-	private List<Innocent> beginInnocents(String name) {
+	private List<HarmlessRequest> startHarmlessRequests(String name) {
 		List<RunningProcess> entries = List.copyOf(cluster.entries());
-		List<Innocent> innocents = new ArrayList<>();
-		for (int number = 0; number < INNOCENTS; number++) {
-			Plan plan = Plan.of("Plan " + number + " " + name, TOKENS);
-			innocents.add(new Innocent(plan, this.caller.stream(entries.get(number % entries.size()), plan)));
+		List<HarmlessRequest> harmlessRequests = new ArrayList<>();
+		for (int number = 0; number < HARMLESS_REQUESTS; number++) {
+			ModelRequest modelRequest = ModelRequest.of("Plan " + number + " " + name, TOKENS);
+			harmlessRequests.add(new HarmlessRequest(modelRequest,
+					this.caller.stream(entries.get(number % entries.size()), modelRequest)));
 		}
-		innocents.forEach((innocent) -> innocent.stream().awaitTokens(5));
-		return innocents;
+		harmlessRequests.forEach((harmlessRequest) -> harmlessRequest.stream().awaitTokens(5));
+		return harmlessRequests;
 	}
 
 	private static void startEngines() {
 		while (cluster.engines().size() < ENGINES) {
-			started++;
+			startedCount++;
 			boolean mahebourg = cluster.engines(MAHEBOURG).size() < ENGINES / 2;
-			cluster.engine("engine-" + started, mahebourg ? MAHEBOURG : TROU_DEAU, 150);
+			cluster.startEngine("engine-" + startedCount, mahebourg ? MAHEBOURG : TROU_DEAU, 150);
 		}
 	}
 
-	private static void assertConvicted(CallAnswer answer) {
-		assertThat(answer.errorCode()).as(answer.body()).isEqualTo(CONVICTED);
-		assertThat(answer.header("Retry-After")).as("coming back is useless").isEmpty();
+	private static void assertRejectedAsCrashing(CallResponse response) {
+		assertThat(response.errorCode()).as(response.body()).isEqualTo(CRASHING_REQUEST_CODE);
+		assertThat(response.header("Retry-After")).as("a retry cannot succeed").isEmpty();
 	}
 
 	/**
-	 * A plan that crashes nothing.
+	 * A request that crashes no engine.
 	 */
-	private record Innocent(Plan plan, PlanStream stream) {
+	private record HarmlessRequest(ModelRequest modelRequest, ResponseStream stream) {
 
-		void assertWhole() {
-			assertThat(this.stream.awaitEnd()).as(this.stream.error()).isEqualTo(PlanStream.End.WHOLE);
-			assertThat(this.stream.text()).isEqualTo(this.plan.wholeText());
+		void assertComplete() {
+			assertThat(this.stream.awaitEnd()).as(this.stream.error()).isEqualTo(ResponseStream.End.COMPLETE);
+			assertThat(this.stream.text()).isEqualTo(this.modelRequest.expectedText());
 		}
 
 	}
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/ErrorPageTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ErrorPageTests.java
@@ -10,12 +10,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The page of error kinds says what the code says.
+ * Tests that the documentation of error kinds matches the code.
  */
 class ErrorPageTests {
 
 	@Test
-	void thePageListsEveryKindWithItsAnswer() throws IOException {
+	void pageListsEveryKindWithItsResponse() throws IOException {
 		String page = Files.readString(Path.of("..", "docs", "ERRORS.md"));
 		for (ErrorKind kind : ErrorKind.values()) {
 			assertThat(page)
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/ExampleSettingsTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ExampleSettingsTests.java
@@ -12,7 +12,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The examples for both users, checked by the programs that read them.
+ * Tests that the programs accept the example settings of both users.
  */
 class ExampleSettingsTests {
 
@@ -21,7 +21,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "lagon-bleu", "kowhai-lane" })
-	void theExamplesPassTheCheckOfTheirPrograms(String user) {
+	void examplesPassSettingsCheck(String user) {
 		assertThat(check(EntryProgram.class, user, "entry.toml")).isZero();
 		assertThat(check(PlannerProgram.class, user, "planner.toml")).isZero();
 	}
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/LeaseStreamTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/LeaseStreamTests.java
@@ -29,7 +29,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The stream of leases over the platform's log.
+ * Tests of the lease stream over the log of the platform.
  */
 class LeaseStreamTests {
 
@@ -41,11 +41,12 @@
 
 	private static final Incarnation HOLDER = new Incarnation(new VmId("planner-1"), 1);
 
-	// A planner starts where the log holds days of renewals. It reads the last ten
-	// minutes, which takes more than one step back here, and knows the lease that stands:
-	// one that missed it would ask for the lease and, by its own reading, get it.
+	// A planner starts when the log holds days of renewals. It reads the last ten
+	// minutes, which takes more than one step backwards here, and finds the current
+	// lease. A planner that missed it would request the lease and, by its own
+	// reading of the log, acquire it.
 	@Test
-	void aReaderThatStartsLateReadsOnlyTheEndAndKnowsTheLease() {
+	void lateReaderReadsOnlyTailAndFindsCurrentLease() {
 		AtomicReference<Instant> now = new AtomicReference<>(Instant.parse("2026-01-01T00:00:00Z"));
 		PlatformOptions options = PlatformOptions.defaults().withClock(now::get);
 		try (PlatformStandin platform = new PlatformStandin(options).start();
@@ -59,7 +60,7 @@
 			append(log, OLD_RECORDS, NEW_RECORDS);
 			List<ReadLeaseRecord> read = new CopyOnWriteArrayList<>();
 			new LeaseStream(log).follow(Duration.ofMillis(100), timer, read::addAll);
-			Await.until("the end is read",
+			Await.until("the end of the stream is read",
 					() -> !read.isEmpty() && read.getLast().offset() == OLD_RECORDS + NEW_RECORDS - 1);
 			assertThat(read.getFirst().offset()).isBetween(1L, (long) OLD_RECORDS);
 			LeaseTable table = new LeaseTable();
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/ModuleRulesTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ModuleRulesTests.java
@@ -10,7 +10,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The rules of the modules and packages.
+ * Tests of the dependency rules of modules and packages.
  */
 class ModuleRulesTests {
 
@@ -19,7 +19,7 @@
 		.importPackages("org.banyancove");
 
 	@Test
-	void theCoreDoesNoInputOrOutputAndStartsNoThread() {
+	void corePerformsNoInputOrOutputAndStartsNoThread() {
 		assertThat(CLASSES).isNotEmpty();
 		ArchRuleDefinition.noClasses()
 			.that()
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void theCoreKnowsNoOtherModule() {
+	void coreDependsOnNoOtherModule() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideInAPackage("org.banyancove.core..")
@@ -46,7 +46,7 @@
 	}
 
 	@Test
-	void noProgramDependsOnTheStandIns() {
+	void noProgramDependsOnStandIns() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideOutsideOfPackage("org.banyancove.standins..")
@@ -66,7 +66,7 @@
 	}
 
 	@Test
-	void thePackagesOfTheCoreHaveNoCycles() {
+	void corePackagesHaveNoCycles() {
 		SlicesRuleDefinition.slices().matching("org.banyancove.core.(*)..").should().beFreeOfCycles().check(CLASSES);
 	}
 
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/PlannerCluster.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/PlannerCluster.java
@@ -13,8 +13,8 @@
 import org.banyancove.standins.StandinsProgram;
 
 /**
- * Planners of one data center with three zones, the platform, and engines as the machines
- * on which the cloud starts VMs: each a process of its own.
+ * Runs the planners of one data center with three zones, the platform, and engines as the
+ * machines on which the cloud starts VMs, each as a separate process.
  */
 final class PlannerCluster implements AutoCloseable {
 
@@ -24,7 +24,8 @@
 
 	static final String MODEL = "scores-7";
 
-	// Zone a is the cheapest and c the dearest; what is reclaimable costs a third.
+	// Zone a is the cheapest and zone c the most expensive. A reclaimable VM costs
+	// a third of the price of an on-demand VM.
 	private static final double PRICE_STEP = 0.1;
 
 	private static final int ENGINE_CAPACITY = 10;
@@ -49,7 +50,7 @@
 			arguments.addAll(List.of("--price", zone + ",gpu,reclaimable," + price));
 			arguments.addAll(List.of("--price", zone + ",gpu,on-demand," + 3 * price));
 		}
-		this.processes.run("platform", StandinsProgram.class, arguments.toArray(String[]::new));
+		this.processes.startProgram("platform", StandinsProgram.class, arguments.toArray(String[]::new));
 	}
 
 	RunningProcess platform() {
@@ -60,11 +61,11 @@
 		return this.processes.caller();
 	}
 
-	// An engine that the cloud's next VM in the zone will be.
-	RunningProcess machine(String zone, boolean checksFence) {
+	// Starts an engine that becomes the next VM that the cloud starts in the zone.
+	RunningProcess startMachine(String zone, boolean checksFence) {
 		String id = "engine-" + this.engines++;
-		RunningProcess engine = this.processes.run(id, StandinsProgram.class, "engine", "--id", id, "--check-fence",
-				String.valueOf(checksFence));
+		RunningProcess engine = this.processes.startProgram(id, StandinsProgram.class, "engine", "--id", id,
+				"--check-fence", String.valueOf(checksFence));
 		post(platform(), "/standin/machines",
 				this.mapper.createObjectNode()
 					.put("zone", zone)
@@ -73,7 +74,7 @@
 		return engine;
 	}
 
-	RunningProcess planner(String id) {
+	RunningProcess startPlanner(String id) {
 		Path settings = this.processes.write(id + ".toml", """
 				[process]
 				vm = "%s"
@@ -98,7 +99,8 @@
 				loads-per-second = 50.0
 				""".formatted(id, DATA_CENTER, platform().address(), this.target, String.join("\", \"", ZONES),
 				ENGINE_CAPACITY, MODEL));
-		RunningProcess planner = this.processes.run(id, PlannerProgram.class, "--settings", settings.toString());
+		RunningProcess planner = this.processes.startProgram(id, PlannerProgram.class, "--settings",
+				settings.toString());
 		this.planners.add(planner);
 		return planner;
 	}
@@ -107,7 +109,7 @@
 		return caller().get(planner.address(), "/status").json();
 	}
 
-	// The planner's fencing number, or -1 while it must not act.
+	// The fencing number of the planner, or -1 while it is not allowed to act.
 	long fence(RunningProcess planner) {
 		return status(planner).path("fence").asLong(-1);
 	}
@@ -116,7 +118,7 @@
 		return caller().get(planner.address(), "/metrics").body();
 	}
 
-	// The promises that planners themselves found broken.
+	// The number of invariant violations that the planners detected themselves.
 	long invariantViolations() {
 		return this.planners.stream()
 			.filter(RunningProcess::isAlive)
@@ -126,16 +128,16 @@
 			.sum();
 	}
 
-	// How many VMs run in each zone.
-	Map<String, Integer> bought() {
-		Map<String, Integer> bought = new TreeMap<>();
+	// The number of running VMs by zone.
+	Map<String, Integer> runningVmsByZone() {
+		Map<String, Integer> runningVmsByZone = new TreeMap<>();
 		JsonNode vms = caller().get(platform().address(), "/cloud/vms?tokenPrefix=" + DATA_CENTER).json().path("vms");
-		vms.forEach((vm) -> bought.merge(vm.path("zone").asText(), 1, Integer::sum));
-		return bought;
+		vms.forEach((vm) -> runningVmsByZone.merge(vm.path("zone").asText(), 1, Integer::sum));
+		return runningVmsByZone;
 	}
 
-	// How many VMs were ever started, whether or not they run.
-	int started() {
+	// The number of VMs that were started, including those that no longer run.
+	int startedCount() {
 		return caller().get(platform().address(), "/standin/runs").json().path("runs").size();
 	}
 
@@ -143,12 +145,12 @@
 		return caller().get(engine.address(), "/v1/orders").json();
 	}
 
-	boolean holdsTheModel(RunningProcess engine) {
+	boolean hasModel(RunningProcess engine) {
 		return orders(engine).path("models").toString().equals("[\"" + MODEL + "\"]");
 	}
 
-	// An order as a planner sends it.
-	int order(RunningProcess engine, long fence, String model) {
+	// Sends an order to an engine as a planner does. Returns the HTTP status.
+	int sendOrder(RunningProcess engine, long fence, String model) {
 		ObjectNode order = this.mapper.createObjectNode().put("fence", fence).put("role", "mixed");
 		order.putArray("models").add(model);
 		return post(engine, "/v1/orders", order).status();
@@ -159,7 +161,7 @@
 		this.processes.close();
 	}
 
-	private CallAnswer post(RunningProcess process, String path, ObjectNode body) {
+	private CallResponse post(RunningProcess process, String path, ObjectNode body) {
 		return caller().call("POST", process.address(), path, body.toString());
 	}
 
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/PlannerProcessTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/PlannerProcessTests.java
@@ -11,125 +11,132 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Two planners of one data center as processes, over the platform and engines.
+ * Tests of two planners of one data center with the platform and engines, all as separate
+ * processes.
  */
 class PlannerProcessTests {
 
-	// One VM a zone carries 20 when the largest zone goes, and costs less than on-demand.
+	// One VM per zone serves 20 after the loss of the largest zone, and costs less
+	// than on-demand VMs.
 	private static final int TARGET = 20;
 
-	private static final Map<String, Integer> ONE_A_ZONE = Map.of("north1-a", 1, "north1-b", 1, "north1-c", 1);
+	private static final Map<String, Integer> ONE_VM_PER_ZONE = Map.of("north1-a", 1, "north1-b", 1, "north1-c", 1);
 
-	// Enough lists and reads of orders for a wrong planner to buy or order something.
-	private static final Duration MANY_ROUNDS = Duration.ofSeconds(3);
+	// Covers enough VM lists and order reads for an incorrect planner to start a VM
+	// or send an order.
+	private static final Duration OBSERVATION_PERIOD = Duration.ofSeconds(3);
 
 	@TempDir
 	Path directory;
 
-	// What the operator sees: three VMs and no more, each with its model, while two
-	// planners run. The holder is paused (SIGSTOP); the other takes the lease and goes on
-	// with what stands. The paused one wakes up, unaware, and must do no harm: it buys
-	// nothing, and the engines stay as they are.
+	// Two planners run; the lease holder is paused by SIGSTOP, and the other
+	// planner acquires the lease and continues with the existing VMs. The resumed
+	// planner is not aware of this and must do no harm: it starts no VM, and the
+	// engines keep their orders. There are never more than three VMs, each with its
+	// model.
 	@Test
-	void aPausedHolderIsReplacedAndDoesNoHarmWhenItWakes() {
+	void pausedLeaseHolderIsReplacedAndTakesNoActionAfterResume() {
 		try (PlannerCluster cluster = new PlannerCluster(this.directory, TARGET)) {
 			List<RunningProcess> engines = PlannerCluster.ZONES.stream()
-				.map((zone) -> cluster.machine(zone, true))
+				.map((zone) -> cluster.startMachine(zone, true))
 				.toList();
-			RunningProcess first = cluster.planner("planner-1");
+			RunningProcess first = cluster.startPlanner("planner-1");
 			Await.until("the first planner has the lease", () -> cluster.fence(first) >= 0);
-			RunningProcess second = cluster.planner("planner-2");
-			awaitFleet(cluster, ONE_A_ZONE, engines);
+			RunningProcess second = cluster.startPlanner("planner-2");
+			awaitFleet(cluster, ONE_VM_PER_ZONE, engines);
 			long oldFence = cluster.fence(first);
 			assertThat(cluster.fence(second)).isNegative();
 			first.pause();
-			Await.until("the other has the lease", () -> cluster.fence(second) > oldFence);
-			Await.pause(MANY_ROUNDS);
-			first.wake();
-			Await.until("the first one knows", () -> cluster.fence(first) < 0);
-			Await.pause(MANY_ROUNDS);
+			Await.until("the other planner has the lease", () -> cluster.fence(second) > oldFence);
+			Await.pause(OBSERVATION_PERIOD);
+			first.resume();
+			Await.until("the first planner has given up its lease", () -> cluster.fence(first) < 0);
+			Await.pause(OBSERVATION_PERIOD);
 			assertThat(cluster.fence(second)).isGreaterThan(oldFence);
-			assertThat(cluster.started()).isEqualTo(ONE_A_ZONE.size());
-			awaitFleet(cluster, ONE_A_ZONE, engines);
+			assertThat(cluster.startedCount()).isEqualTo(ONE_VM_PER_ZONE.size());
+			awaitFleet(cluster, ONE_VM_PER_ZONE, engines);
 			assertThat(cluster.invariantViolations()).isZero();
 		}
 	}
 
-	// The holder dies by SIGKILL just as its starts are answered, so that nothing of what
-	// it bought is known to anyone but the cloud. The other planner lists before it buys,
-	// and buys only what is missing.
+	// The lease holder is killed by SIGKILL just as its start requests are
+	// answered, so only the cloud knows of the started VMs. The other planner lists
+	// the VMs first and starts only the missing ones.
 	@Test
-	void whatADeadHolderBoughtIsNotBoughtAgain() {
+	void vmsStartedByDeadLeaseHolderAreNotStartedAgain() {
 		try (PlannerCluster cluster = new PlannerCluster(this.directory, TARGET)) {
-			RunningProcess first = cluster.planner("planner-1");
-			RunningProcess second = cluster.planner("planner-2");
-			Await.until("one of them bought", () -> cluster.started() > 0);
+			RunningProcess first = cluster.startPlanner("planner-1");
+			RunningProcess second = cluster.startPlanner("planner-2");
+			Await.until("a planner has started VMs", () -> cluster.startedCount() > 0);
 			RunningProcess holder = (cluster.fence(first) >= 0) ? first : second;
 			holder.kill();
 			RunningProcess other = (holder == first) ? second : first;
-			Await.until("the other has the lease", () -> cluster.fence(other) >= 0);
-			Await.until("the fleet stands", () -> cluster.bought().equals(ONE_A_ZONE));
-			Await.pause(MANY_ROUNDS);
-			assertThat(cluster.started()).isEqualTo(ONE_A_ZONE.size());
+			Await.until("the other planner has the lease", () -> cluster.fence(other) >= 0);
+			Await.until("the fleet has the expected VMs", () -> cluster.runningVmsByZone().equals(ONE_VM_PER_ZONE));
+			Await.pause(OBSERVATION_PERIOD);
+			assertThat(cluster.startedCount()).isEqualTo(ONE_VM_PER_ZONE.size());
 			assertThat(cluster.invariantViolations()).isZero();
 		}
 	}
 
-	// The cloud starts the first VMs, and its answers are lost. The planner cannot know
-	// whether it bought; it asks again under the same tokens, and nothing is bought
-	// twice.
+	// The cloud starts the first VMs but its responses are lost, so the planner
+	// cannot know whether they were started. It retries with the same client
+	// tokens, and no VM is started twice.
 	@Test
-	void aStartWhoseAnswerIsLostBuysNothingTwice() {
+	void vmIsNotStartedTwiceWhenResponseIsLost() {
 		try (PlannerCluster cluster = new PlannerCluster(this.directory, TARGET)) {
-			cluster.caller().fault(cluster.platform(), "{\"loseCloudAnswers\": 3}");
-			RunningProcess planner = cluster.planner("planner-1");
-			Await.until("the fleet stands", () -> cluster.bought().equals(ONE_A_ZONE));
-			Await.pause(MANY_ROUNDS);
-			assertThat(cluster.started()).isEqualTo(ONE_A_ZONE.size());
+			cluster.caller().injectFault(cluster.platform(), "{\"loseCloudAnswers\": 3}");
+			RunningProcess planner = cluster.startPlanner("planner-1");
+			Await.until("the fleet has the expected VMs", () -> cluster.runningVmsByZone().equals(ONE_VM_PER_ZONE));
+			Await.pause(OBSERVATION_PERIOD);
+			assertThat(cluster.startedCount()).isEqualTo(ONE_VM_PER_ZONE.size());
 			assertThat(cluster.metrics(planner)).contains("result=\"unanswered\"");
 			assertThat(cluster.invariantViolations()).isZero();
 		}
 	}
 
-	// The cheapest zone refuses starts. The planner does not wait for it: what is missing
-	// is bought elsewhere, so that the target stands without that zone.
+	// The cheapest zone rejects start requests. The planner does not wait for it
+	// and starts the missing VMs in other zones, so the target is reached without
+	// that zone.
 	@Test
-	void aZoneThatRefusesIsReplacedByOthers() {
+	void capacityIsStartedInOtherZonesWhenOneRejectsStarts() {
 		try (PlannerCluster cluster = new PlannerCluster(this.directory, TARGET)) {
-			cluster.caller().fault(cluster.platform(), "{\"refuseStartsIn\": \"north1-a\"}");
-			RunningProcess planner = cluster.planner("planner-1");
-			Await.until("the target stands", () -> cluster.status(planner).path("surviving").asDouble() >= TARGET);
-			assertThat(cluster.bought()).doesNotContainKey("north1-a").containsKeys("north1-b", "north1-c");
+			cluster.caller().injectFault(cluster.platform(), "{\"refuseStartsIn\": \"north1-a\"}");
+			RunningProcess planner = cluster.startPlanner("planner-1");
+			Await.until("the target capacity is reached",
+					() -> cluster.status(planner).path("surviving").asDouble() >= TARGET);
+			assertThat(cluster.runningVmsByZone()).doesNotContainKey("north1-a").containsKeys("north1-b", "north1-c");
 			assertThat(cluster.metrics(planner)).contains("machine_class=\"gpu\",result=\"refused\"");
 			assertThat(cluster.invariantViolations()).isZero();
 		}
 	}
 
-	// The late order of a former holder reaches two engines: the one that checks fencing
-	// numbers refuses it, the one that ignores them takes it and drops the model. Reading
-	// back shows it, and the planner sets the engine right.
+	// A delayed order of a former lease holder reaches two engines. The engine that
+	// checks fencing numbers rejects it; the one that ignores them applies it and
+	// unloads the model. The planner detects this when it reads the orders back,
+	// and corrects the engine.
 	@Test
-	void anEngineThatIgnoresFencingIsSetRightAgain() {
+	void staleOrderAtEngineWithoutFencingIsCorrected() {
 		try (PlannerCluster cluster = new PlannerCluster(this.directory, TARGET)) {
-			RunningProcess checks = cluster.machine("north1-a", true);
-			RunningProcess ignores = cluster.machine("north1-b", false);
-			RunningProcess planner = cluster.planner("planner-1");
-			cluster.machine("north1-c", true);
-			awaitFleet(cluster, ONE_A_ZONE, List.of(checks, ignores));
+			RunningProcess checks = cluster.startMachine("north1-a", true);
+			RunningProcess ignores = cluster.startMachine("north1-b", false);
+			RunningProcess planner = cluster.startPlanner("planner-1");
+			cluster.startMachine("north1-c", true);
+			awaitFleet(cluster, ONE_VM_PER_ZONE, List.of(checks, ignores));
 			long fence = cluster.fence(planner);
-			assertThat(cluster.order(checks, fence - 1, "scores-6")).isEqualTo(409);
-			assertThat(cluster.order(ignores, fence - 1, "scores-6")).isEqualTo(200);
+			assertThat(cluster.sendOrder(checks, fence - 1, "scores-6")).isEqualTo(409);
+			assertThat(cluster.sendOrder(ignores, fence - 1, "scores-6")).isEqualTo(200);
 			assertThat(cluster.orders(ignores).path("fence").asLong()).isEqualTo(fence - 1);
-			Await.until("it is set right", () -> cluster.holdsTheModel(ignores));
+			Await.until("the engine has its model again", () -> cluster.hasModel(ignores));
 			assertThat(cluster.orders(ignores).path("fence").asLong()).isEqualTo(fence);
-			assertThat(cluster.holdsTheModel(checks)).isTrue();
+			assertThat(cluster.hasModel(checks)).isTrue();
 			assertThat(cluster.invariantViolations()).isZero();
 		}
 	}
 
 	private static void awaitFleet(PlannerCluster cluster, Map<String, Integer> fleet, List<RunningProcess> engines) {
-		Await.until("the fleet stands", () -> cluster.bought().equals(fleet));
-		Await.until("every engine holds its model", () -> engines.stream().allMatch(cluster::holdsTheModel));
+		Await.until("the fleet has the expected VMs", () -> cluster.runningVmsByZone().equals(fleet));
+		Await.until("every engine has its model", () -> engines.stream().allMatch(cluster::hasModel));
 	}
 
 }
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/ProcessCluster.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ProcessCluster.java
@@ -33,9 +33,9 @@
 import org.banyancove.standins.StandinsProgram;
 
 /**
- * A platform, endpoints and entries as separate processes on loopback. Endpoints come
- * first, then the platform that lists them, then entries; whatever runs is ended by
- * {@link #close()}.
+ * Runs a platform, endpoints and entries as separate processes on loopback. Endpoints are
+ * started first, then the platform that lists them, then entries. {@link #close()} ends
+ * all processes.
  */
 final class ProcessCluster implements AutoCloseable {
 
@@ -43,21 +43,22 @@
 
 	static final String ORDERS = "orders";
 
-	static final Profile DAWN = profile("dawn", Duration.ofSeconds(60));
+	static final Profile FEED_PLANNING_PROFILE = profile("dawn", Duration.ofSeconds(60));
 
-	// Repeats of a call whose claimant is dead wait this long for its outcome.
-	static final Profile DAY = profile("day", Duration.ofSeconds(5));
+	// The deadline limits how long a repeated call waits for the outcome of a call
+	// whose claimant has failed.
+	static final Profile ORDERS_PROFILE = profile("day", Duration.ofSeconds(5));
 
 	static final ServiceDefinition FEED_PLANNING_SERVICE = new ServiceDefinition(new ServiceName(FEED_PLANNING),
-			ServiceKind.MODEL, DAWN.name(), ServiceState.ACTIVE, Set.of(), false);
+			ServiceKind.MODEL, FEED_PLANNING_PROFILE.name(), ServiceState.ACTIVE, Set.of(), false);
 
 	static final ServiceDefinition ORDERS_SERVICE = new ServiceDefinition(new ServiceName(ORDERS), ServiceKind.PLAIN,
-			DAY.name(), ServiceState.ACTIVE, Set.of("GET"), false);
+			ORDERS_PROFILE.name(), ServiceState.ACTIVE, Set.of("GET"), false);
 
-	static final ProfileRecord DAWN_CREATED = new ProfileRecord.ProfileChanged("profile-dawn", ProfileTable.NO_REVISION,
-			DAWN);
+	static final ProfileRecord FEED_PLANNING_PROFILE_CREATED = new ProfileRecord.ProfileChanged("profile-dawn",
+			ProfileTable.NO_REVISION, FEED_PLANNING_PROFILE);
 
-	static final ProfileRecord FEED_PLANNING_CREATED = new ProfileRecord.ServiceChanged("service-feed",
+	static final ProfileRecord FEED_PLANNING_SERVICE_CREATED = new ProfileRecord.ServiceChanged("service-feed",
 			ProfileTable.NO_REVISION, FEED_PLANNING_SERVICE);
 
 	private static final String LIST_LAG = "500ms";
@@ -72,9 +73,9 @@
 
 	private final Map<String, RunningProcess> services = new LinkedHashMap<>();
 
-	private final Map<String, String> platforms = new LinkedHashMap<>();
+	private final Map<String, String> platformAddresses = new LinkedHashMap<>();
 
-	private final Map<RunningProcess, String> names = new HashMap<>();
+	private final Map<RunningProcess, String> idsByProcess = new HashMap<>();
 
 	private final List<ListedEndpoint> endpoints = new ArrayList<>();
 
@@ -90,29 +91,31 @@
 		return this.caller;
 	}
 
-	RunningProcess engine(String id, String dataCenter, int tokensPerSecond) {
+	RunningProcess startEngine(String id, String dataCenter, int tokensPerSecond) {
 		RunningProcess engine = start(id, StandinsProgram.class, "engine", "--id", id, "--tokens-per-second",
 				Integer.toString(tokensPerSecond));
-		list(new ListedEndpoint(id, dataCenter, "gpu", "engine", FEED_PLANNING, engine));
+		registerEndpoint(new ListedEndpoint(id, dataCenter, "gpu", "engine", FEED_PLANNING, engine));
 		return engine;
 	}
 
-	RunningProcess orders(String id, String dataCenter) {
+	RunningProcess startOrderService(String id, String dataCenter) {
 		RunningProcess service = start(id, StandinsProgram.class, "service", "--id", id, "--service", ORDERS,
 				"--latency", "5ms");
-		list(new ListedEndpoint(id, dataCenter, "small", "service", ORDERS, service));
+		registerEndpoint(new ListedEndpoint(id, dataCenter, "small", "service", ORDERS, service));
 		this.services.put(id, service);
 		return service;
 	}
 
-	// Starts the platform with the endpoints so far. Each data center has a listener
-	// of its own, which can be silenced, and its entries use that.
-	RunningProcess platform(String... dataCenters) {
+	// Starts the platform with the endpoints started so far. Each data center has
+	// its own listener, which can be made unresponsive; the entries of the data
+	// center use it.
+	RunningProcess startPlatform(String... dataCenters) {
 		List<String> arguments = new ArrayList<>(List.of("platform", "--list-lag", LIST_LAG));
 		this.endpoints.forEach((endpoint) -> arguments.addAll(List.of("--vm", endpoint.option())));
 		List.of(dataCenters).forEach((dataCenter) -> arguments.addAll(List.of("--listener", dataCenter)));
 		RunningProcess platform = start("platform", StandinsProgram.class, arguments.toArray(String[]::new));
-		List.of(dataCenters).forEach((dataCenter) -> this.platforms.put(dataCenter, platform.listener(dataCenter)));
+		List.of(dataCenters)
+			.forEach((dataCenter) -> this.platformAddresses.put(dataCenter, platform.listener(dataCenter)));
 		return platform;
 	}
 
@@ -120,25 +123,25 @@
 		return process("platform");
 	}
 
-	// Starts an entry that begins with one of those that run; it learns of the others
-	// from that one.
-	RunningProcess entry(String id, String dataCenter) {
-		return entry(id, dataCenter, "");
+	// Starts an entry with one running entry as its seed, from which it discovers
+	// the others.
+	RunningProcess startEntry(String id, String dataCenter) {
+		return startEntry(id, dataCenter, "");
 	}
 
-	// Starts an entry with further settings, as TOML.
-	RunningProcess entry(String id, String dataCenter, String furtherSettings) {
-		Path settings = write(id + ".toml", settings(id, dataCenter) + furtherSettings);
+	// Starts an entry with additional settings in TOML.
+	RunningProcess startEntry(String id, String dataCenter, String additionalSettings) {
+		Path settings = write(id + ".toml", settings(id, dataCenter) + additionalSettings);
 		RunningProcess entry = start(id, EntryProgram.class, "--settings", settings.toString());
 		this.entries.put(id, entry);
-		putVm(vm(id, dataCenter, "small", "entry", entry.peerAddress()));
+		registerVm(vm(id, dataCenter, "small", "entry", entry.peerAddress()));
 		return entry;
 	}
 
 	RunningProcess process(String id) {
 		RunningProcess process = this.processes.get(id);
 		if (process == null) {
-			throw new IllegalArgumentException("No process '" + id + "'");
+			throw new IllegalArgumentException("Unknown process '" + id + "'");
 		}
 		return process;
 	}
@@ -165,14 +168,14 @@
 		return this.entries.values().stream().filter(RunningProcess::isAlive).toList();
 	}
 
-	RunningProcess run(String id, Class<?> program, String... arguments) {
+	RunningProcess startProgram(String id, Class<?> program, String... arguments) {
 		return start(id, program, arguments);
 	}
 
 	String settings(String id, String dataCenter) {
 		String seed = entries().stream().findFirst().map((entry) -> "\"" + entry.peerAddress() + "\"").orElse("");
 		String nearby = String.join(", ",
-				this.platforms.keySet()
+				this.platformAddresses.keySet()
 					.stream()
 					.filter((other) -> !other.equals(dataCenter))
 					.map((other) -> "\"" + other + "\"")
@@ -190,7 +193,7 @@
 				[peers]
 				seeds = [%s]
 				nearby = [%s]
-				""".formatted(id, dataCenter, dataCenter, this.platforms.get(dataCenter), seed, nearby);
+				""".formatted(id, dataCenter, dataCenter, this.platformAddresses.get(dataCenter), seed, nearby);
 	}
 
 	Path write(String name, String text) {
@@ -202,29 +205,30 @@
 		}
 	}
 
-	// Publishes a model service and a plain service, each under a profile of its own,
-	// and waits until every entry can serve both. Returns the model service's revision.
+	// Publishes a model service and a plain service, each with its own profile, and
+	// waits until every entry can serve both. Returns the revision of the model
+	// service.
 	long publishServices() {
-		long first = publish(DAWN_CREATED, FEED_PLANNING_CREATED,
-				new ProfileRecord.ProfileChanged("profile-day", ProfileTable.NO_REVISION, DAY),
+		long first = publish(FEED_PLANNING_PROFILE_CREATED, FEED_PLANNING_SERVICE_CREATED,
+				new ProfileRecord.ProfileChanged("profile-day", ProfileTable.NO_REVISION, ORDERS_PROFILE),
 				new ProfileRecord.ServiceChanged("service-orders", ProfileTable.NO_REVISION, ORDERS_SERVICE));
 		awaitServing();
 		return first + 1;
 	}
 
 	void awaitServing() {
-		Set<String> living = new HashSet<>();
+		Set<String> aliveIds = new HashSet<>();
 		this.endpoints.stream()
 			.filter((endpoint) -> endpoint.process().isAlive())
-			.forEach((endpoint) -> living.add(endpoint.id()));
+			.forEach((endpoint) -> aliveIds.add(endpoint.id()));
 		for (RunningProcess entry : entries()) {
-			Await.until("an entry is ready and knows " + living,
+			Await.until("an entry is ready and lists the endpoints " + aliveIds,
 					() -> this.caller.get(entry.address(), "/readyz").status() == 200
-							&& endpointsInState(entry, "LIVE").containsAll(living));
+							&& endpointsInState(entry, "LIVE").containsAll(aliveIds));
 		}
 	}
 
-	// The endpoints that an entry takes to be in a state.
+	// The ids of the endpoints that are in a state according to an entry.
 	Set<String> endpointsInState(RunningProcess entry, String state) {
 		Set<String> found = new HashSet<>();
 		for (JsonNode endpoint : status(entry).path("endpoints")) {
@@ -235,17 +239,18 @@
 		return found;
 	}
 
-	// The engine at which an entry's only stream runs.
+	// The engine that runs the only stream of an entry.
 	RunningProcess engineInUse(RunningProcess entry) {
 		for (JsonNode endpoint : status(entry).path("endpoints")) {
 			if (endpoint.path("inFlight").asInt() > 0) {
 				return process(endpoint.path("id").asText());
 			}
 		}
-		throw new AssertionError("No engine is in use: " + status(entry));
+		throw new AssertionError("No engine has a request in flight: " + status(entry));
 	}
 
-	// The requests that an entry takes to be at the endpoints of a service.
+	// The number of requests in flight at the endpoints of a service according to
+	// an entry.
 	int inFlight(RunningProcess entry, String service) {
 		int inFlight = 0;
 		for (JsonNode endpoint : status(entry).path("endpoints")) {
@@ -256,7 +261,8 @@
 		return inFlight;
 	}
 
-	// Appends records to the profiles' stream; returns the first one's offset.
+	// Appends records to the profile stream. Returns the offset of the first
+	// record.
 	long publish(ProfileRecord... records) {
 		ObjectNode append = this.mapper.createObjectNode();
 		ArrayNode list = append.putArray("records");
@@ -264,31 +270,33 @@
 			String id = (record instanceof ProfileRecord.Change change) ? change.recordId() : "checkpoint";
 			list.addObject().put("id", id).put("data", this.codec.encode(record));
 		}
-		CallAnswer answer = this.caller.call("POST", platform().address(), "/log/profiles/records", append.toString());
-		if (answer.status() != 200) {
-			throw new AssertionError("Not appended: " + answer);
+		CallResponse response = this.caller.call("POST", platform().address(), "/log/profiles/records",
+				append.toString());
+		if (response.status() != 200) {
+			throw new AssertionError("Append to the profile stream failed: " + response);
 		}
-		return answer.json().path("firstOffset").asLong();
+		return response.json().path("firstOffset").asLong();
 	}
 
-	// Gives the VM of a process its reclaim notice.
-	void announceReclaim(RunningProcess process, Duration in) {
+	// Sends a reclaim notice for the VM of a process.
+	void sendReclaimNotice(RunningProcess process, Duration in) {
 		ObjectNode notice = this.mapper.createObjectNode()
-			.put("vm", this.names.get(process))
+			.put("vm", this.idsByProcess.get(process))
 			.put("inMillis", in.toMillis());
-		tellPlatform("/standin/notices", notice);
+		postToPlatform("/standin/notices", notice);
 	}
 
-	// How often a key ran, over all order services.
-	int runs(String key) {
+	// The number of runs of a key, summed over all running order services.
+	int runCount(String key) {
 		return runsByKey().getOrDefault(key, 0);
 	}
 
-	int mostRunsOfAnyKey() {
+	int maximumRunsPerKey() {
 		return runsByKey().values().stream().mapToInt(Integer::intValue).max().orElse(0);
 	}
 
-	// The tokens that engines computed a second time for a stream that moved.
+	// The number of tokens that engines recomputed for a stream that moved between
+	// engines.
 	long recomputedTokens() {
 		return this.endpoints.stream()
 			.filter((endpoint) -> endpoint.role().equals("engine") && endpoint.process().isAlive())
@@ -299,8 +307,8 @@
 			.sum();
 	}
 
-	// Whether the log has a record of a kind about a key, in any stream of keys.
-	boolean logHas(String kind, String key) {
+	// Whether any key slot stream of the log has a record of a kind for a key.
+	boolean logContains(String kind, String key) {
 		for (int slot = 0; slot < KeySlot.DEFAULT_COUNT; slot++) {
 			String path = "/log/" + new KeySlot(slot).streamName() + "/records?from=0";
 			for (JsonNode record : this.caller.get(platform().address(), path).json().path("records")) {
@@ -317,7 +325,7 @@
 		return this.caller.get(entry.address(), "/status").json();
 	}
 
-	// The promises that the entries themselves found broken.
+	// The number of invariant violations that the entries detected themselves.
 	long invariantViolations() {
 		return entries().stream()
 			.mapToLong((entry) -> status(entry).at("/counters/invariantViolations").asLong())
@@ -334,10 +342,10 @@
 				PlacementPolicyName.COST_AT_TARGET, 0.2, 0.5, false, 1_000_000);
 	}
 
-	private void list(ListedEndpoint endpoint) {
+	private void registerEndpoint(ListedEndpoint endpoint) {
 		this.endpoints.add(endpoint);
 		if (this.processes.containsKey("platform")) {
-			putVm(vm(endpoint.id(), endpoint.dataCenter(), endpoint.machineClass(), endpoint.role(),
+			registerVm(vm(endpoint.id(), endpoint.dataCenter(), endpoint.machineClass(), endpoint.role(),
 					endpoint.process().address())
 				.put("service", endpoint.service()));
 		}
@@ -354,15 +362,16 @@
 			.put("state", "live");
 	}
 
-	private void putVm(ObjectNode vm) {
-		tellPlatform("/standin/vms", vm);
+	private void registerVm(ObjectNode vm) {
+		postToPlatform("/standin/vms", vm);
 	}
 
-	// A call that the platform refuses would bring about no failure at all.
-	private void tellPlatform(String path, ObjectNode body) {
-		CallAnswer answer = this.caller.call("POST", platform().address(), path, body.toString());
-		if (answer.status() != 200) {
-			throw new AssertionError("The platform refused " + path + " " + body + ": " + answer);
+	// Fails on a rejected request: the test would otherwise run without the fault
+	// that it injects.
+	private void postToPlatform(String path, ObjectNode body) {
+		CallResponse response = this.caller.call("POST", platform().address(), path, body.toString());
+		if (response.status() != 200) {
+			throw new AssertionError("The platform rejected " + path + " " + body + ": " + response);
 		}
 	}
 
@@ -379,17 +388,18 @@
 	private RunningProcess start(String id, Class<?> program, String... arguments) {
 		RunningProcess process = RunningProcess.start(this.directory, id, program, List.of(arguments));
 		this.processes.put(id, process);
-		this.names.put(process, id);
+		this.idsByProcess.put(process, id);
 		return process;
 	}
 
 	/**
-	 * An endpoint that the platform lists.
+	 * An endpoint in the list of the platform.
 	 */
 	private record ListedEndpoint(String id, String dataCenter, String machineClass, String role, String service,
 			RunningProcess process) {
 
-		// The platform's option for it, with the address once it is printed.
+		// The command line option that lists the endpoint; waits until the process
+		// has printed its address.
 		String option() {
 			return String.join(",", this.id, this.dataCenter, this.dataCenter + "-a", this.machineClass, this.role,
 					this.service, this.process.address());
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/ProfileChangeTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ProfileChangeTests.java
@@ -16,19 +16,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Changes of services while operators race, a data center is cut off from the platform
- * and the log is down, in separate processes.
+ * Tests of service changes during concurrent changes by operators, a partition between a
+ * data center and the platform, and a log outage, with separate processes.
  */
 class ProfileChangeTests {
 
-	private static final String CUT_OFF = "trou-deau";
+	private static final String PARTITIONED_DATA_CENTER = "trou-deau";
 
 	@TempDir
 	private static Path directory;
 
 	private static ProcessCluster cluster;
 
-	private static RunningProcess cutOff;
+	private static RunningProcess partitionedEntry;
 
 	private static long feedPlanningRevision;
 
@@ -37,11 +37,11 @@
 	@BeforeAll
 	static void start() {
 		cluster = new ProcessCluster(directory);
-		cluster.engine("engine-1", "mahebourg", 100);
-		cluster.orders("orders-1", CUT_OFF);
-		cluster.platform("mahebourg", CUT_OFF);
-		cluster.entry("entry-1", "mahebourg");
-		cutOff = cluster.entry("entry-2", CUT_OFF);
+		cluster.startEngine("engine-1", "mahebourg", 100);
+		cluster.startOrderService("orders-1", PARTITIONED_DATA_CENTER);
+		cluster.startPlatform("mahebourg", PARTITIONED_DATA_CENTER);
+		cluster.startEntry("entry-1", "mahebourg");
+		partitionedEntry = cluster.startEntry("entry-2", PARTITIONED_DATA_CENTER);
 		feedPlanningRevision = cluster.publishServices();
 	}
 
@@ -50,83 +50,84 @@
 		cluster.close();
 	}
 
-	// Two operators change one service from the same revision: one retires it, one keeps
-	// it. The log's order decides, the same way in every data center, and the loser's
-	// change never takes effect anywhere.
+	// Two operators change one service from the same revision: one retires it, the
+	// other keeps it active. The order in the log decides, with the same result in
+	// every data center, and the losing change never takes effect.
 	@Test
-	void ofTwoRacingOperatorsOneWinsEverywhere() {
+	void sameConcurrentChangeWinsInEveryDataCenter() {
 		long revision = create("raced");
 		cluster.publish(changed("raced", "first-operator", revision, ServiceState.RETIRED));
 		cluster.publish(changed("raced", "second-operator", revision, ServiceState.ACTIVE));
 		create("raced-marker");
 		for (RunningProcess entry : cluster.entries()) {
-			awaitCode(entry, "raced-marker", "no_endpoint");
-			assertThat(code(entry, "raced")).isEqualTo("service_retired");
+			awaitErrorCode(entry, "raced-marker", "no_endpoint");
+			assertThat(errorCode(entry, "raced")).isEqualTo("service_retired");
 		}
 	}
 
-	// A data center is cut off from the platform but not from the others. A change that
-	// is accepted meanwhile comes to it from its peers, and when its connection heals it
-	// reads the log again from where it was: the change doesn't revert.
+	// A data center loses its connection to the platform but not to the others. It
+	// receives a change that is accepted during the partition from its peers. After
+	// the partition it resumes reading the log at its last offset, and the change
+	// does not revert.
 	@Test
-	void aDataCenterCutOffFromThePlatformGetsAChangeFromItsPeers() {
+	void partitionedDataCenterReceivesChangeFromPeers() {
 		long revision = create("relayed");
-		cluster.entries().forEach((entry) -> awaitCode(entry, "relayed", "no_endpoint"));
-		this.caller.fault(cluster.platform(), "{\"silentListeners\":\"" + CUT_OFF + "\"}");
+		cluster.entries().forEach((entry) -> awaitErrorCode(entry, "relayed", "no_endpoint"));
+		this.caller.injectFault(cluster.platform(), "{\"silentListeners\":\"" + PARTITIONED_DATA_CENTER + "\"}");
 		cluster.publish(changed("relayed", "retire-relayed", revision, ServiceState.RETIRED));
-		awaitCode(cutOff, "relayed", "service_retired");
-		this.caller.fault(cluster.platform(), "{\"silentListeners\":\"\"}");
+		awaitErrorCode(partitionedEntry, "relayed", "service_retired");
+		this.caller.injectFault(cluster.platform(), "{\"silentListeners\":\"\"}");
 		create("healed");
-		awaitCode(cutOff, "healed", "no_endpoint");
-		assertThat(code(cutOff, "relayed")).isEqualTo("service_retired");
+		awaitErrorCode(partitionedEntry, "healed", "no_endpoint");
+		assertThat(errorCode(partitionedEntry, "relayed")).isEqualTo("service_retired");
 	}
 
-	// An entry is replaced while the log is down. It has no disk and can't read a thing;
-	// its peers give it the services, so that it takes work all the same.
+	// An entry is replaced during a log outage. It has no disk and cannot read the
+	// log; its peers send it the services, so that it can serve requests.
 	@Test
-	void aFreshEntryTakesTheServicesFromItsPeersInAnOutage() {
-		this.caller.fault(cluster.platform(), "{\"logOutage\":true}");
+	void newEntryReceivesServicesFromPeersDuringLogOutage() {
+		this.caller.injectFault(cluster.platform(), "{\"logOutage\":true}");
 		try {
-			RunningProcess fresh = cluster.entry("entry-fresh", "mahebourg");
-			Await.until("the fresh entry is ready", () -> this.caller.get(fresh.address(), "/readyz").status() == 200);
-			Plan plan = Plan.of("Plan at a fresh entry", 20);
-			Await.until("a plan is served", () -> {
-				CallAnswer answer = this.caller.chat(fresh, plan);
-				return answer.status() == 200 && answer.text().equals(plan.wholeText());
+			RunningProcess newEntry = cluster.startEntry("entry-fresh", "mahebourg");
+			Await.until("the new entry is ready", () -> this.caller.get(newEntry.address(), "/readyz").status() == 200);
+			ModelRequest modelRequest = ModelRequest.of("Plan at a fresh entry", 20);
+			Await.until("a model request is served", () -> {
+				CallResponse response = this.caller.chat(newEntry, modelRequest);
+				return response.status() == 200 && response.text().equals(modelRequest.expectedText());
 			});
 		}
 		finally {
-			this.caller.fault(cluster.platform(), "{\"logOutage\":0}");
+			this.caller.injectFault(cluster.platform(), "{\"logOutage\":0}");
 		}
 	}
 
-	// A customer leaves and the operator retires the service while a skipper's plan is
-	// half written. New plans are refused everywhere as not run; the one that was
-	// accepted is finished under its old terms, also for a caller that comes back
-	// elsewhere.
+	// An operator retires a service while a request is in flight. Every entry
+	// rejects new requests as not run. The accepted request completes under the
+	// terms it was accepted with, also for a caller that reconnects at another
+	// entry.
 	@Test
-	void aPlanIsFinishedWhoseServiceIsRetiredMeanwhile() {
-		Plan plan = Plan.of("Plan of a service that is retired", 400);
+	void acceptedRequestCompletesAfterServiceIsRetired() {
+		ModelRequest modelRequest = ModelRequest.of("Plan of a service that is retired", 400);
 		RunningProcess entry = cluster.process("entry-1");
-		PlanStream stream = this.caller.stream(entry, plan).awaitTokens(10);
+		ResponseStream stream = this.caller.stream(entry, modelRequest).awaitTokens(10);
 		feedPlanningRevision = cluster.publish(feedPlanning("retire-feed", ServiceState.RETIRED));
-		cluster.entries().forEach((each) -> Await.until("new plans are refused", () -> isRetired(each)));
-		assertThat(stream.tokens()).as("the plan must be under way, not over").isLessThan(plan.tokens());
-		PlanStream again = this.caller.reconnect(cutOff, stream.requestId());
-		assertThat(stream.awaitEnd()).as(stream.error()).isEqualTo(PlanStream.End.WHOLE);
-		assertThat(stream.text()).isEqualTo(plan.wholeText());
-		assertThat(again.awaitEnd()).as(again.error()).isEqualTo(PlanStream.End.WHOLE);
-		assertThat(again.text()).isEqualTo(plan.wholeText());
+		cluster.entries().forEach((each) -> Await.until("new requests are rejected", () -> isRetired(each)));
+		assertThat(stream.tokens()).as("the request must still be in flight").isLessThan(modelRequest.tokens());
+		ResponseStream again = this.caller.reconnect(partitionedEntry, stream.requestId());
+		assertThat(stream.awaitEnd()).as(stream.error()).isEqualTo(ResponseStream.End.COMPLETE);
+		assertThat(stream.text()).isEqualTo(modelRequest.expectedText());
+		assertThat(again.awaitEnd()).as(again.error()).isEqualTo(ResponseStream.End.COMPLETE);
+		assertThat(again.text()).isEqualTo(modelRequest.expectedText());
 		assertThat(cluster.invariantViolations()).isZero();
 		feedPlanningRevision = cluster.publish(feedPlanning("revive-feed", ServiceState.ACTIVE));
-		cluster.entries().forEach((each) -> Await.until("new plans are served", () -> !isRetired(each)));
+		cluster.entries().forEach((each) -> Await.until("new requests are served", () -> !isRetired(each)));
 	}
 
 	private boolean isRetired(RunningProcess entry) {
-		CallAnswer answer = this.caller.chat(entry, Plan.of("A new plan", 1));
-		if (answer.errorCode().equals("service_retired")) {
-			assertThat(answer.execution()).isEqualTo("not-run");
-			assertThat(answer.header("Retry-After")).as("coming back is useless").isEmpty();
+		CallResponse response = this.caller.chat(entry, ModelRequest.of("A new plan", 1));
+		if (response.errorCode().equals("service_retired")) {
+			assertThat(response.execution()).isEqualTo("not-run");
+			assertThat(response.header("Retry-After")).as("a retry cannot succeed").isEmpty();
 			return true;
 		}
 		return false;
@@ -148,18 +149,18 @@
 				orders.kind(), orders.profile(), state, orders.repeatableMethods(), false));
 	}
 
-	private void awaitCode(RunningProcess entry, String service, String code) {
+	private void awaitErrorCode(RunningProcess entry, String service, String errorCode) {
 		Set<String> seen = new HashSet<>();
-		Await.until(service + " answers " + code + ", so far " + seen, () -> {
-			String now = code(entry, service);
+		Await.until(service + " answers " + errorCode + ", so far " + seen, () -> {
+			String now = errorCode(entry, service);
 			seen.add(now);
-			return now.equals(code);
+			return now.equals(errorCode);
 		});
 	}
 
-	// What a call that may be repeated gets: it shows the service's state as this entry
-	// sees it.
-	private String code(RunningProcess entry, String service) {
+	// The error code of a repeatable call, which shows the state of the service
+	// according to this entry.
+	private String errorCode(RunningProcess entry, String service) {
 		return this.caller
 			.call("GET", entry.address(), "/services/" + service + "/state", "", "Authorization", Caller.CREDENTIAL)
 			.errorCode();
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/ReclaimTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ReclaimTests.java
@@ -13,18 +13,18 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * An accepted plan while the VMs under it are reclaimed, in separate processes: its
- * entry, its engine, both, and a whole data center.
+ * Tests of an accepted model request while VMs that serve it are reclaimed, with separate
+ * processes: its entry, its engine, both, or a complete data center.
  */
 class ReclaimTests {
 
-	private static final String DOOMED = "mahebourg";
+	private static final String RECLAIMED_DATA_CENTER = "mahebourg";
 
-	private static final String SAFE = "trou-deau";
+	private static final String REMAINING_DATA_CENTER = "trou-deau";
 
-	private static final Duration NOTICE = Duration.ofMillis(1500);
+	private static final Duration NOTICE_PERIOD = Duration.ofMillis(1500);
 
-	private static final int SEEN_BEFORE = 20;
+	private static final int TOKENS_BEFORE_FAULT = 20;
 
 	private static final int TOKENS = 250;
 
@@ -33,20 +33,20 @@
 
 	private static ProcessCluster cluster;
 
-	private static int started;
+	private static int startedCount;
 
 	private final Caller caller = cluster.caller();
 
 	private RunningProcess entry;
 
-	private RunningProcess safeEntry;
+	private RunningProcess remainingEntry;
 
 	@BeforeAll
 	static void start() {
 		cluster = new ProcessCluster(directory);
-		cluster.engine("engine-safe", SAFE, 100);
-		cluster.platform(DOOMED, SAFE);
-		cluster.entry("entry-safe", SAFE);
+		cluster.startEngine("engine-safe", REMAINING_DATA_CENTER, 100);
+		cluster.startPlatform(RECLAIMED_DATA_CENTER, REMAINING_DATA_CENTER);
+		cluster.startEntry("entry-safe", REMAINING_DATA_CENTER);
 		cluster.publishServices();
 	}
 
@@ -55,105 +55,113 @@
 		cluster.close();
 	}
 
-	// Two entries and two engines in the data center that things happen to.
+	// Starts two entries and two engines in the data center whose VMs are
+	// reclaimed.
 	@BeforeEach
-	void replaceTheReclaimed() {
+	void replaceReclaimedProcesses() {
 		while (cluster.engines().size() < 3) {
-			started++;
-			cluster.engine("engine-" + started, DOOMED, 100);
+			startedCount++;
+			cluster.startEngine("engine-" + startedCount, RECLAIMED_DATA_CENTER, 100);
 		}
 		while (cluster.entries().size() < 3) {
-			started++;
-			cluster.entry("entry-" + started, DOOMED);
+			startedCount++;
+			cluster.startEntry("entry-" + startedCount, RECLAIMED_DATA_CENTER);
 		}
 		cluster.awaitServing();
-		this.safeEntry = cluster.process("entry-safe");
+		this.remainingEntry = cluster.process("entry-safe");
 		this.entry = cluster.entries()
 			.stream()
-			.filter((each) -> !each.equals(this.safeEntry))
+			.filter((each) -> !each.equals(this.remainingEntry))
 			.findFirst()
 			.orElseThrow();
 	}
 
-	// A skipper's plan is half written when its entry gets its notice, and the VM goes.
-	// The caller reconnects elsewhere under the request's identifier and reads the whole
-	// plan: the entry handed the request over, and the engine just went on with it.
+	// The entry receives a reclaim notice in the middle of a stream, and its VM is
+	// lost. The entry hands the request over while the engine continues. The caller
+	// reconnects elsewhere with the request id and reads the complete response.
 	@Test
-	void aPlanSurvivesTheReclaimOfItsEntry() {
-		Plan plan = Plan.of("Voyage plan, entry reclaimed", TOKENS);
-		PlanStream stream = begin(plan);
-		reclaim(NOTICE, this.entry);
-		assertWhole(plan, stream);
+	void requestSurvivesReclaimOfEntry() {
+		ModelRequest modelRequest = ModelRequest.of("Voyage plan, entry reclaimed", TOKENS);
+		ResponseStream stream = startStream(modelRequest);
+		reclaim(NOTICE_PERIOD, this.entry);
+		assertComplete(modelRequest, stream);
 	}
 
-	// The entry's VM vanishes without a notice. Nobody handed anything over: the second
-	// entry that held the request takes it up from what it was last told.
+	// The VM of the entry is lost without a notice, so nothing is handed over. The
+	// second entry that holds the request resumes it from the last progress that it
+	// received.
 	@Test
-	void aPlanSurvivesTheLossOfItsEntryWithoutNotice() {
-		Plan plan = Plan.of("Voyage plan, entry lost", TOKENS);
-		PlanStream stream = begin(plan);
+	void requestSurvivesLossOfEntryWithoutNotice() {
+		ModelRequest modelRequest = ModelRequest.of("Voyage plan, entry lost", TOKENS);
+		ResponseStream stream = startStream(modelRequest);
 		this.entry.kill();
-		assertWhole(plan, stream);
+		assertComplete(modelRequest, stream);
 	}
 
-	// The entry dies a moment after its notice, partway through handing over. The request
-	// may then be in two places or on its way: one of them must finish it.
+	// The entry fails shortly after its notice, in the middle of the handover. The
+	// request may then be at two entries or in transit; one of them must complete
+	// it.
 	@Test
-	void aPlanSurvivesAnEntryThatDiesPartwayThroughItsNotice() {
-		Plan plan = Plan.of("Voyage plan, entry dies early", TOKENS);
-		PlanStream stream = begin(plan);
+	void requestSurvivesEntryFailureDuringHandover() {
+		ModelRequest modelRequest = ModelRequest.of("Voyage plan, entry dies early", TOKENS);
+		ResponseStream stream = startStream(modelRequest);
 		reclaim(Duration.ofMillis(60), this.entry);
-		assertWhole(plan, stream);
+		assertComplete(modelRequest, stream);
 	}
 
-	// The engine gets its notice and goes. The caller's stream doesn't break: it goes on
-	// from another engine at the next token, with none missing and none twice.
+	// The engine receives a reclaim notice and is lost. The stream of the caller
+	// does not break: it continues at the next token from another engine, without
+	// missing or duplicate tokens.
 	@Test
-	void aPlanSurvivesTheReclaimOfItsEngine() {
-		Plan plan = Plan.of("Voyage plan, engine reclaimed", TOKENS);
-		PlanStream stream = begin(plan);
-		reclaim(NOTICE, cluster.engineInUse(this.entry));
-		assertThat(stream.awaitEnd()).as(stream.error()).isEqualTo(PlanStream.End.WHOLE);
-		assertThat(stream.text()).isEqualTo(plan.wholeText());
+	void requestSurvivesReclaimOfEngine() {
+		ModelRequest modelRequest = ModelRequest.of("Voyage plan, engine reclaimed", TOKENS);
+		ResponseStream stream = startStream(modelRequest);
+		reclaim(NOTICE_PERIOD, cluster.engineInUse(this.entry));
+		assertThat(stream.awaitEnd()).as(stream.error()).isEqualTo(ResponseStream.End.COMPLETE);
+		assertThat(stream.text()).isEqualTo(modelRequest.expectedText());
 	}
 
-	// Entry and engine get their notices together and both go: the request has to move
-	// and its stream too, and the one must not wait for the other.
+	// Entry and engine receive reclaim notices together and both are lost. Both the
+	// request and its stream have to move, and neither may wait for the other.
 	@Test
-	void aPlanSurvivesTheReclaimOfItsEntryAndItsEngine() {
-		Plan plan = Plan.of("Voyage plan, both reclaimed", TOKENS);
-		PlanStream stream = begin(plan);
-		reclaim(NOTICE, this.entry, cluster.engineInUse(this.entry));
-		assertWhole(plan, stream);
+	void requestSurvivesReclaimOfEntryAndEngine() {
+		ModelRequest modelRequest = ModelRequest.of("Voyage plan, both reclaimed", TOKENS);
+		ResponseStream stream = startStream(modelRequest);
+		reclaim(NOTICE_PERIOD, this.entry, cluster.engineInUse(this.entry));
+		assertComplete(modelRequest, stream);
 	}
 
-	// All VMs of a data center get their notice and go. The entry that held the request
-	// may be among them, so that it must be handed to another data center.
+	// All VMs of a data center receive reclaim notices and are lost. The second
+	// entry that holds the request may be among them, so the request must be handed
+	// over to another data center.
 	@Test
-	void aPlanSurvivesTheReclaimOfAWholeDataCenter() {
-		Plan plan = Plan.of("Voyage plan, data center reclaimed", TOKENS);
-		PlanStream stream = begin(plan);
-		RunningProcess safeEngine = cluster.process("engine-safe");
-		List<RunningProcess> engines = cluster.engines().stream().filter((each) -> !each.equals(safeEngine)).toList();
+	void requestSurvivesReclaimOfDataCenter() {
+		ModelRequest modelRequest = ModelRequest.of("Voyage plan, data center reclaimed", TOKENS);
+		ResponseStream stream = startStream(modelRequest);
+		RunningProcess remainingEngine = cluster.process("engine-safe");
+		List<RunningProcess> engines = cluster.engines()
+			.stream()
+			.filter((each) -> !each.equals(remainingEngine))
+			.toList();
 		List<RunningProcess> entries = cluster.entries()
 			.stream()
-			.filter((each) -> !each.equals(this.safeEntry))
+			.filter((each) -> !each.equals(this.remainingEntry))
 			.toList();
-		reclaim(NOTICE, engines.get(0), engines.get(1), entries.get(0), entries.get(1));
-		assertWhole(plan, stream);
+		reclaim(NOTICE_PERIOD, engines.get(0), engines.get(1), entries.get(0), entries.get(1));
+		assertComplete(modelRequest, stream);
 	}
 
-	private PlanStream begin(Plan plan) {
-		PlanStream stream = this.caller.stream(this.entry, plan);
-		stream.awaitTokens(SEEN_BEFORE);
+	private ResponseStream startStream(ModelRequest modelRequest) {
+		ResponseStream stream = this.caller.stream(this.entry, modelRequest);
+		stream.awaitTokens(TOKENS_BEFORE_FAULT);
 		assertThat(stream.status()).isEqualTo(200);
-		assertThat(stream.tokens()).as("the plan must be under way, not over").isLessThan(plan.tokens());
+		assertThat(stream.tokens()).as("the request must still be in flight").isLessThan(modelRequest.tokens());
 		return stream;
 	}
 
 	private static void reclaim(Duration notice, RunningProcess... processes) {
 		for (RunningProcess process : processes) {
-			cluster.announceReclaim(process, notice);
+			cluster.sendReclaimNotice(process, notice);
 		}
 		Await.pause(notice);
 		for (RunningProcess process : processes) {
@@ -161,13 +169,13 @@
 		}
 	}
 
-	// What the caller read so far is the plan's beginning, and coming back at another
-	// entry gives all of it.
-	private void assertWhole(Plan plan, PlanStream stream) {
-		assertThat(plan.wholeText()).startsWith(stream.text());
-		PlanStream again = this.caller.reconnect(this.safeEntry, stream.requestId());
-		assertThat(again.awaitEnd()).as(again.error()).isEqualTo(PlanStream.End.WHOLE);
-		assertThat(again.text()).isEqualTo(plan.wholeText());
+	// Checks that the text received so far is a prefix of the expected text, and
+	// that a new connection to another entry delivers all of it.
+	private void assertComplete(ModelRequest modelRequest, ResponseStream stream) {
+		assertThat(modelRequest.expectedText()).startsWith(stream.text());
+		ResponseStream again = this.caller.reconnect(this.remainingEntry, stream.requestId());
+		assertThat(again.awaitEnd()).as(again.error()).isEqualTo(ResponseStream.End.COMPLETE);
+		assertThat(again.text()).isEqualTo(modelRequest.expectedText());
 		assertThat(cluster.invariantViolations()).isZero();
 	}
 
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/PlanStream.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/ResponseStream.java
@@ -14,10 +14,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * An answer that arrives by server-sent events. It keeps what a caller has seen: the
- * pieces in the order they came, how it ended, and whether the connection broke.
+ * A response streamed as server-sent events. Records what a caller has received: the
+ * pieces in order of arrival, how the stream ended, and whether the connection broke.
  */
-final class PlanStream {
+final class ResponseStream {
 
 	private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -33,7 +33,7 @@
 
 	private volatile boolean done;
 
-	PlanStream(HttpClient client, HttpRequest request) {
+	ResponseStream(HttpClient client, HttpRequest request) {
 		Thread.ofVirtual().name("stream").start(() -> read(client, request));
 	}
 
@@ -41,7 +41,8 @@
 		return this.head.join().statusCode();
 	}
 
-	// Waits until the request is accepted: from now on it must survive.
+	// Waits until the request is accepted; an accepted request must survive
+	// failures.
 	String requestId() {
 		return this.head.join().headers().firstValue("X-Request-Id").orElseThrow();
 	}
@@ -50,7 +51,7 @@
 		return this.head.join().headers().firstValue(name).orElse("");
 	}
 
-	PlanStream awaitTokens(int count) {
+	ResponseStream awaitTokens(int count) {
 		Await.until(count + " tokens, or the end", () -> this.tokens.get() >= count || this.end.isDone());
 		return this;
 	}
@@ -67,25 +68,25 @@
 		return this.end.isDone();
 	}
 
-	// How it ended. A stream that ends without its last event is broken.
+	// Waits for the end of the stream. A stream without its final event is broken.
 	End awaitEnd() {
 		Await.until("the end of a stream at " + this.tokens.get() + " tokens", this.end::isDone);
 		return this.end.join();
 	}
 
-	// The error's JSON, where it ended with one.
+	// The JSON of the error that ended the stream, or an empty string.
 	String error() {
 		return this.error;
 	}
 
 	private void read(HttpClient client, HttpRequest request) {
 		try {
-			HttpResponse<Stream<String>> answer = client.send(request, HttpResponse.BodyHandlers.ofLines());
-			this.head.complete(answer);
-			try (Stream<String> lines = answer.body()) {
+			HttpResponse<Stream<String>> response = client.send(request, HttpResponse.BodyHandlers.ofLines());
+			this.head.complete(response);
+			try (Stream<String> lines = response.body()) {
 				lines.forEach(this::line);
 			}
-			this.end.complete(this.done ? End.WHOLE : (this.error.isEmpty() ? End.BROKEN : End.FAILED));
+			this.end.complete(this.done ? End.COMPLETE : (this.error.isEmpty() ? End.BROKEN : End.FAILED));
 		}
 		catch (IOException | UncheckedIOException ex) {
 			this.head.completeExceptionally(ex);
@@ -133,13 +134,13 @@
 	 */
 	enum End {
 
-		/** With its last event. */
-		WHOLE,
+		/** With the final event. */
+		COMPLETE,
 
-		/** With an error that says so. */
+		/** With an explicit error. */
 		FAILED,
 
-		/** The connection ended or broke before the last event. */
+		/** The connection ended or broke before the final event. */
 		BROKEN
 
 	}
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/RunningProcess.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/RunningProcess.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A program of the system, or a stand-in, in a process of its own.
+ * A banyancove program or a stand-in that runs as a separate process.
  */
 final class RunningProcess implements AutoCloseable {
 
-	private static final String LISTENING = "listening ";
+	private static final String LISTENING_LABEL = "listening ";
 
 	private final String name;
 
@@ -43,7 +43,7 @@
 			Process process = new ProcessBuilder(command).redirectOutput(output.toFile())
 				.redirectError(errors.toFile())
 				.start();
-			// A test run that is ended from outside would leave its processes behind.
+			// Ends the process when the test run is terminated from outside.
 			Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
 			return new RunningProcess(name, process, output, errors);
 		}
@@ -53,57 +53,57 @@
 	}
 
 	String address() {
-		return printed(LISTENING);
+		return printedValue(LISTENING_LABEL);
 	}
 
-	// The address that other entries reach.
+	// The address at which other entries reach this entry.
 	String peerAddress() {
-		return printed("peers ");
+		return printedValue("peers ");
 	}
 
-	// The address of one of the platform's further listeners.
+	// The address of an additional listener of the platform.
 	String listener(String listener) {
-		return printed("listener " + listener + " ");
+		return printedValue("listener " + listener + " ");
 	}
 
 	boolean isAlive() {
 		return this.process.isAlive();
 	}
 
-	// SIGTERM: the planned stop.
+	// Sends SIGTERM, which requests a graceful shutdown.
 	void terminate() {
 		this.process.destroy();
 	}
 
-	// SIGKILL.
+	// Sends SIGKILL.
 	void kill() {
 		this.process.destroyForcibly();
 		awaitExit();
 	}
 
-	// SIGSTOP: nothing of it runs until it is woken.
+	// Sends SIGSTOP, which suspends the process until it is resumed.
 	void pause() {
 		signal("-STOP");
 	}
 
-	void wake() {
+	void resume() {
 		signal("-CONT");
 	}
 
 	int awaitExit() {
 		try {
-			if (!this.process.waitFor(Await.LIMIT.toSeconds(), TimeUnit.SECONDS)) {
-				throw new AssertionError(this.name + " does not end");
+			if (!this.process.waitFor(Await.TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
+				throw new AssertionError(this.name + " did not exit before the timeout");
 			}
 			return this.process.exitValue();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new AssertionError(this.name + " was not awaited", ex);
+			throw new AssertionError(this.name + ": interrupted while waiting for exit", ex);
 		}
 	}
 
-	// What it printed on standard error: for an entry its one error line.
+	// The lines written to standard error; for an entry, its single error line.
 	List<String> errorLines() {
 		return lines(this.errors);
 	}
@@ -113,9 +113,9 @@
 		kill();
 	}
 
-	private String printed(String label) {
+	private String printedValue(String label) {
 		Await.until(this.name + " prints '" + label + "'",
-				() -> find(label).isPresent() || find(LISTENING).isPresent() || !this.process.isAlive());
+				() -> find(label).isPresent() || find(LISTENING_LABEL).isPresent() || !this.process.isAlive());
 		return find(label)
 			.orElseThrow(() -> new AssertionError(this.name + " printed no '" + label + "': " + errorLines()));
 	}
@@ -133,7 +133,7 @@
 				.start()
 				.waitFor();
 			if (code != 0) {
-				throw new AssertionError("kill " + signal + " of " + this.name + " ended with " + code);
+				throw new AssertionError("kill " + signal + " of " + this.name + " exited with code " + code);
 			}
 		}
 		catch (IOException ex) {
