--- a/banyancove-burn/src/main/java/org/banyancove/burn/BurnTableFormatter.java
+++ b/banyancove-burn/src/main/java/org/banyancove/burn/BurnTableFormatter.java
@@ -51,7 +51,7 @@
 	}
 
 	private static String line(BurnRow row) {
-		WindowBurn budgetPeriod = row.over(BurnWindow.THREE_DAYS);
+		WindowBurn budgetPeriod = row.burnOver(BurnWindow.THREE_DAYS);
 		StringBuilder text = new StringBuilder("%-20s %-20s %9s %8d".formatted(row.key().profile(),
 				row.key().accountLabel(), row.objective(), budgetPeriod.total()));
 		for (WindowBurn burn : row.windows()) {
--- a/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/admission/AdmissionSystem.java
@@ -48,7 +48,7 @@
 		Instant now = this.clock.instant();
 		if (this.table.liveCount(request.service()) == 0) {
 			return new AdmissionDecision.Refused(request.request(), ErrorKind.NO_ENDPOINT,
-					this.table.untilAnyEndpoint(request.service(), request.profile(), now));
+					this.table.retryAfterNoEndpoint(request.service(), request.profile(), now));
 		}
 		ServiceQueue queue = queue(request.service());
 		queue.capacityKnown(this.table.isCapacityKnown(request.service()));
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerBuffer.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerBuffer.java
@@ -92,7 +92,7 @@
 	 * @return {@code true} if the answer includes all pieces; {@code false} if preceding
 	 * pieces are missing or the texts differ
 	 */
-	public boolean takeCopy(int copiedAttempt, List<Piece> copied) {
+	public boolean appendCopy(int copiedAttempt, List<Piece> copied) {
 		if (this.end != null) {
 			return false;
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerReader.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/answer/AnswerReader.java
@@ -68,7 +68,7 @@
 	 * delivered ones; the connection must then be closed, and the caller reconnects with
 	 * its last offset
 	 */
-	public @Nullable List<Piece> take(List<Piece> pieces) {
+	public @Nullable List<Piece> accept(List<Piece> pieces) {
 		if (pieces.isEmpty() || pieces.getLast().toOffset() <= this.offset) {
 			return List.of();
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnRow.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnRow.java
@@ -26,7 +26,7 @@
 	 * @param window the window
 	 * @return the burn
 	 */
-	public WindowBurn over(BurnWindow window) {
+	public WindowBurn burnOver(BurnWindow window) {
 		return WindowBurn.over(this.windows, window);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerFetchSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerFetchSystem.java
@@ -84,7 +84,7 @@
 		this.fetches.put(caller.subscriber(), fetch);
 		// A process that has just started knows no peers yet; the next poll sends
 		// the request.
-		this.handover.probablyKnow(caller.request()).forEach((peer) -> sendFetchRequest(fetch, peer));
+		this.handover.findLikelyPeers(caller.request()).forEach((peer) -> sendFetchRequest(fetch, peer));
 	}
 
 	// Continues to deliver an answer that another entry owns now.
@@ -229,7 +229,7 @@
 			sendFetchRequest(fetch, owner);
 			return;
 		}
-		this.handover.probablyKnow(fetch.request).forEach((peer) -> sendFetchRequest(fetch, peer));
+		this.handover.findLikelyPeers(fetch.request).forEach((peer) -> sendFetchRequest(fetch, peer));
 	}
 
 	private void sendFetchRequest(RemoteAnswer fetch, PeerState peer) {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerPart.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerPart.java
@@ -17,7 +17,7 @@
 	 * Returns whether this is the final part of the answer.
 	 * @return whether no further part follows
 	 */
-	default boolean last() {
+	default boolean isFinal() {
 		return true;
 	}
 
@@ -27,7 +27,7 @@
 	record Accepted() implements AnswerPart {
 
 		@Override
-		public boolean last() {
+		public boolean isFinal() {
 			return false;
 		}
 
@@ -38,10 +38,10 @@
 	 * it has received. Sent to a caller that reconnected at an offset that is not a
 	 * boundary of the retained pieces.
 	 */
-	record StartedOver() implements AnswerPart {
+	record Restarted() implements AnswerPart {
 
 		@Override
-		public boolean last() {
+		public boolean isFinal() {
 			return false;
 		}
 
@@ -57,7 +57,7 @@
 	record Text(long fromOffset, long toOffset, String text) implements AnswerPart {
 
 		@Override
-		public boolean last() {
+		public boolean isFinal() {
 			return false;
 		}
 
@@ -83,7 +83,7 @@
 	 * @param repeated whether this is the stored answer of an earlier run under the same
 	 * key
 	 */
-	record Whole(int status, String contentType, Body body, boolean repeated) implements AnswerPart {
+	record PlainResponse(int status, String contentType, Body body, boolean repeated) implements AnswerPart {
 
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AnswerSystem.java
@@ -68,12 +68,12 @@
 		Invariant.check(pieces.isEmpty() || pieces.getFirst().fromOffset() <= reader.offset(),
 				"caller %s expects token %s next, received %s", subscriber, reader.offset(), pieces);
 		long before = reader.offset();
-		List<Piece> newPieces = reader.take(pieces);
+		List<Piece> newPieces = reader.accept(pieces);
 		if (newPieces == null) {
 			return false;
 		}
 		if (!newPieces.isEmpty() && newPieces.getFirst().fromOffset() < before) {
-			deliver(subscriber, new AnswerPart.StartedOver());
+			deliver(subscriber, new AnswerPart.Restarted());
 		}
 		newPieces.forEach((piece) -> deliver(subscriber,
 				new AnswerPart.Text(piece.fromOffset(), piece.toOffset(), piece.text())));
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/AttemptSystem.java
@@ -18,8 +18,8 @@
 import org.banyancove.core.peer.EndpointLoad;
 import org.banyancove.core.profile.Profile;
 import org.banyancove.core.retry.RetryDecision;
+import org.banyancove.core.retry.RetryPolicy;
 import org.banyancove.core.retry.RetryRequest;
-import org.banyancove.core.retry.RetryRule;
 import org.banyancove.core.routing.AttemptOutcome;
 import org.banyancove.core.routing.Endpoint;
 import org.banyancove.core.routing.EndpointDefinition;
@@ -49,7 +49,7 @@
 
 	private final SuspectSystem suspects;
 
-	private final RetryRule retries;
+	private final RetryPolicy retries;
 
 	private final InstantSource clock;
 
@@ -68,7 +68,7 @@
 		this.endpoints = endpoints;
 		this.placement = placement;
 		this.suspects = suspects;
-		this.retries = new RetryRule(clock);
+		this.retries = new RetryPolicy(clock);
 		this.clock = clock;
 		this.commands = commands;
 		this.counters = counters;
@@ -77,9 +77,9 @@
 
 	// Selects the endpoint of a request's next attempt, without starting it.
 	AttemptPlacement place(RequestEntity request) {
-		return switch (this.suspects.mayStart(request.fingerprint)) {
+		return switch (this.suspects.decide(request.fingerprint)) {
 			case SuspectDecision.NotSuspect _ -> place(request, Set.of());
-			case SuspectDecision.RunApart apart -> place(request, apart.excluded());
+			case SuspectDecision.RunIsolated isolated -> place(request, isolated.excluded());
 			case SuspectDecision.Wait wait -> new AttemptPlacement.Deferred(wait.retryAfter());
 			case SuspectDecision.Refused _ -> new AttemptPlacement.Blocked();
 		};
@@ -102,7 +102,7 @@
 		}
 		this.profiles.put(request.service.name(), request.profile);
 		this.endpoints.attemptStarted(placedAt(request, id), placementRequest(request, Set.of()), this.clock.instant());
-		this.suspects.started(request.id(), request.fingerprint, id);
+		this.suspects.attemptStarted(request.id(), request.fingerprint, id);
 		recordSent(request, id);
 		request.endpoint = id;
 		sendAttempt(request, id, endpoint.definition().address(), attempt, content);
@@ -128,8 +128,8 @@
 					this.clock.instant());
 			// A suspect request that was handed over with its stream is not sent
 			// again, so its former owner was responsible for isolating it.
-			if (this.suspects.mayStart(request.fingerprint) instanceof SuspectDecision.NotSuspect) {
-				this.suspects.started(request.id(), request.fingerprint, id);
+			if (this.suspects.decide(request.fingerprint) instanceof SuspectDecision.NotSuspect) {
+				this.suspects.attemptStarted(request.id(), request.fingerprint, id);
 			}
 			request.endpoint = id;
 		}
@@ -154,7 +154,7 @@
 		if (profile == null) {
 			return DEFAULT_RETRY_AFTER;
 		}
-		return this.endpoints.untilAnyEndpoint(service, profile, this.clock.instant());
+		return this.endpoints.retryAfterNoEndpoint(service, profile, this.clock.instant());
 	}
 
 	// Decides whether to retry a request whose attempt failed, under the retry
@@ -175,7 +175,7 @@
 			return;
 		}
 		this.endpoints.attemptEnded(endpoint, request.id(), outcome, this.clock.instant());
-		this.suspects.ended(request.id(), endpoint, outcome == AttemptOutcome.COMPLETED);
+		this.suspects.attemptEnded(request.id(), endpoint, outcome == AttemptOutcome.COMPLETED);
 		if (outcome.isFailure()) {
 			request.excluded.add(endpoint);
 		}
@@ -203,14 +203,14 @@
 	void firstTokenReceived(RequestEntity request) {
 		EndpointId endpoint = request.endpoint;
 		if (endpoint != null) {
-			this.endpoints.firstTokenSeen(endpoint, request.id(), this.clock.instant());
+			this.endpoints.firstTokenReceived(endpoint, request.id(), this.clock.instant());
 		}
 	}
 
 	void tokensReceived(RequestEntity request, int count) {
 		EndpointId endpoint = request.endpoint;
 		if (endpoint != null) {
-			this.endpoints.tokensSeen(endpoint, request.id(), count, this.clock.instant());
+			this.endpoints.tokensReceived(endpoint, request.id(), count, this.clock.instant());
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ConfigurationSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ConfigurationSystem.java
@@ -56,7 +56,7 @@
 
 	private final PeerPort port;
 
-	private final ProfileEntryText text;
+	private final ProfileTextCodec textCodec;
 
 	private final InstantSource clock;
 
@@ -74,13 +74,13 @@
 
 	private boolean reading;
 
-	ConfigurationSystem(Incarnation self, PeerTable peers, PeerPort port, ProfileEntryText text,
+	ConfigurationSystem(Incarnation self, PeerTable peers, PeerPort port, ProfileTextCodec textCodec,
 			CheckpointSchedule checkpoints, ProfileReaders readers, InstantSource clock,
 			Consumer<EntryCommand> commands) {
 		this.self = self;
 		this.peers = peers;
 		this.port = port;
-		this.text = text;
+		this.textCodec = textCodec;
 		this.checkpoints = checkpoints;
 		this.readers = readers;
 		this.clock = clock;
@@ -169,7 +169,7 @@
 				importState(record.data());
 			}
 			else {
-				entries.add(Objects.requireNonNullElse(this.text.readEntry(record.data()),
+				entries.add(Objects.requireNonNullElse(this.textCodec.readEntry(record.data()),
 						new ProfileEntry(record.offset(), Instant.EPOCH, null)));
 			}
 		}
@@ -180,7 +180,7 @@
 
 	private void apply(ProfilePage page) {
 		long before = this.view.table().nextOffset();
-		this.view.read(page);
+		this.view.apply(page);
 		page.entries().stream().filter((entry) -> entry.offset() >= before).forEach(this::retain);
 	}
 
@@ -214,7 +214,7 @@
 	}
 
 	private void importState(String data) {
-		ProfileTableState state = this.text.readState(data);
+		ProfileTableState state = this.textCodec.readState(data);
 		if (state != null) {
 			this.view.importState(state);
 			this.recent.clear();
@@ -225,12 +225,12 @@
 		ProfileEntry oldest = this.recent.peekFirst();
 		if (oldest == null || oldest.offset() > from) {
 			ProfileTableState state = this.view.table().exportState();
-			return List.of(new PeerLogRecord(state.throughOffset(), STATE, this.text.write(state)));
+			return List.of(new PeerLogRecord(state.throughOffset(), STATE, this.textCodec.write(state)));
 		}
 		return this.recent.stream()
 			.filter((entry) -> entry.offset() >= from)
 			.limit(limit)
-			.map((entry) -> new PeerLogRecord(entry.offset(), "", this.text.write(entry)))
+			.map((entry) -> new PeerLogRecord(entry.offset(), "", this.textCodec.write(entry)))
 			.toList();
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EndpointSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EndpointSystem.java
@@ -48,7 +48,7 @@
 		for (EndpointDefinition definition : list.live()) {
 			listedIds.add(definition.id());
 		}
-		this.endpoints.listed(list.live(), list.asOf());
+		this.endpoints.applyList(list.live(), list.asOf());
 		list.leaving().forEach(this::applyNotice);
 		removeMissing(listedIds);
 	}
@@ -64,7 +64,7 @@
 		}
 		for (EndpointId id : onVm) {
 			ZoneName zone = this.endpoints.find(id).orElseThrow().definition().zone();
-			this.suspects.noticeSeen(notice.vm(), zone);
+			this.suspects.reclaimNoticeReceived(notice.vm(), zone);
 		}
 		this.endpoints.markLeaving(notice.vm(), notice.reclaimAt(), this.clock.instant());
 		this.leavingVms.add(new LeavingVm(notice.vm(), onVm, notice.reclaimAt()));
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCore.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCore.java
@@ -104,12 +104,12 @@
 	 * Creates the core of an entry.
 	 * @param identity the process, location and address of the entry
 	 * @param settings the limits of its tables
-	 * @param text the codec of the profiles' records for other entries
+	 * @param textCodec the codec of the profiles' records for other entries
 	 * @param clock the clock
 	 * @param random the source of all random choices
 	 * @param commands the consumer that executes the commands
 	 */
-	public EntryCore(EntryIdentity identity, EntrySettings settings, ProfileEntryText text, InstantSource clock,
+	public EntryCore(EntryIdentity identity, EntrySettings settings, ProfileTextCodec textCodec, InstantSource clock,
 			RandomGenerator random, Consumer<EntryCommand> commands) {
 		Incarnation incarnation = identity.incarnation();
 		PeerPort port = (address, message) -> commands.accept(new EntryCommand.SendToPeer(address, message));
@@ -124,7 +124,7 @@
 		this.answers = new AnswerSystem(this.requests, clock, commands, this.counters);
 		this.endpointSystem = new EndpointSystem(this.endpoints, this.suspects, clock);
 		this.claims = new ClaimSystem(incarnation, clock, random, settings.claims(), new EntryClaimPort(commands));
-		this.configuration = new ConfigurationSystem(incarnation, this.peers, port, text,
+		this.configuration = new ConfigurationSystem(incarnation, this.peers, port, textCodec,
 				new CheckpointSchedule(settings.claims().checkpointInterval(), CHANGES_PER_CHECKPOINT, clock, random),
 				new ProfileReaders(self, this.peers, settings.profileReaders(), clock), clock, commands);
 		this.handover = new HandoverSystem(self, this.peers, this.holds, clock, settings.handover(), port,
@@ -230,7 +230,7 @@
 	 * Returns whether this entry accepts new requests.
 	 * @return whether it is ready
 	 */
-	public boolean ready() {
+	public boolean isReady() {
 		return !this.stopping && this.configuration.view().isStarted() && !this.peers.isJoining();
 	}
 
@@ -247,7 +247,7 @@
 	 * Returns the number of requests in flight.
 	 * @return the number of requests
 	 */
-	public int running() {
+	public int runningRequests() {
 		return this.requests.running();
 	}
 
@@ -255,21 +255,21 @@
 	 * Returns the number of requests held for other entries.
 	 * @return the number of requests
 	 */
-	public int held() {
+	public int heldRequests() {
 		return this.holds.heldCount();
 	}
 
 	/**
 	 * Counts a violated invariant.
 	 */
-	public void invariantViolated() {
+	public void countInvariantViolation() {
 		this.invariantViolations++;
 	}
 
 	/**
 	 * Counts an event whose handling failed.
 	 */
-	public void eventFailed() {
+	public void countFailedEvent() {
 		this.failedEvents++;
 	}
 
@@ -338,7 +338,7 @@
 		for (EndpointId endpoint : leaving.endpoints()) {
 			this.modelCalls.endpointLeaving(endpoint, leaving.reclaimAt());
 		}
-		this.membership.vmLeaving(leaving.vm(), leaving.endpoints(), leaving.reclaimAt());
+		this.membership.announceVmLeaving(leaving.vm(), leaving.endpoints(), leaving.reclaimAt());
 		if (leaving.vm().equals(this.identity.incarnation().vm())) {
 			handOver();
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCounters.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/EntryCounters.java
@@ -12,9 +12,9 @@
 
 	private final Map<ErrorKind, Long> failures = new EnumMap<>(ErrorKind.class);
 
-	private long arrived;
+	private long receivedRequests;
 
-	private long answered;
+	private long answeredRequests;
 
 	private long attempts;
 
@@ -28,16 +28,16 @@
 	 * Returns the number of received requests.
 	 * @return the number of requests
 	 */
-	public long arrived() {
-		return this.arrived;
+	public long receivedRequests() {
+		return this.receivedRequests;
 	}
 
 	/**
 	 * Returns the number of requests that were answered completely.
 	 * @return the number of requests
 	 */
-	public long answered() {
-		return this.answered;
+	public long answeredRequests() {
+		return this.answeredRequests;
 	}
 
 	/**
@@ -82,7 +82,7 @@
 	}
 
 	void countArrival() {
-		this.arrived++;
+		this.receivedRequests++;
 	}
 
 	void countFailure(ErrorKind kind) {
@@ -94,7 +94,7 @@
 			countFailure(failure.kind());
 			return;
 		}
-		this.answered++;
+		this.answeredRequests++;
 	}
 
 	void countAttempt(int number) {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ModelCallSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ModelCallSystem.java
@@ -125,7 +125,7 @@
 			case AttemptResult.Answered answered -> requestRejected(request, attempt, answered);
 			case AttemptResult.Refused _ -> attemptFailed(request, attempt, AttemptOutcome.REFUSED);
 			case AttemptResult.NeverSent _ -> endpointUnreachable(request, attempt);
-			case AttemptResult.Broken _ -> this.streams.broken(id, attempt, true);
+			case AttemptResult.Broken _ -> this.streams.connectionFailed(id, attempt, true);
 		}
 	}
 
@@ -266,7 +266,7 @@
 	private void attemptFailed(RequestEntity request, int attempt, AttemptOutcome outcome) {
 		request.outcome = outcome;
 		this.attempts.endAttempt(request, outcome);
-		this.streams.broken(request.id(), attempt, false);
+		this.streams.connectionFailed(request.id(), attempt, false);
 	}
 
 	private void endpointUnreachable(RequestEntity request, int attempt) {
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/PeerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/PeerSystem.java
@@ -81,9 +81,9 @@
 	// known suspects to a peer that has missed a change.
 	void sendSuspects(MembershipSystem membership) {
 		Incarnation self = membership.self().incarnation();
-		notices(self, this.suspects.takeChanged()).forEach(membership::suspect);
-		this.unsentSuspects
-			.forEach((peer, records) -> notices(self, records).forEach((notice) -> membership.tell(peer, notice)));
+		notices(self, this.suspects.drainChanged()).forEach(membership::announceSuspect);
+		this.unsentSuspects.forEach((peer, records) -> notices(self, records)
+			.forEach((notice) -> membership.sendSuspectNotice(peer, notice)));
 		this.unsentSuspects.clear();
 	}
 
@@ -117,7 +117,7 @@
 	}
 
 	@Override
-	public List<EndpointLoad> takeSent() {
+	public List<EndpointLoad> drainSentLoads() {
 		List<EndpointLoad> sent = this.attempts.drainSentLoads();
 		sent.sort(Comparator.comparingLong(EndpointLoad::tokens).reversed());
 		return sent;
@@ -154,7 +154,7 @@
 	}
 
 	@Override
-	public void suspect(PeerMessage.SuspectNotice notice) {
+	public void suspectReported(PeerMessage.SuspectNotice notice) {
 		if (notice.verdict() != SuspectVerdict.SUSPECTED) {
 			return;
 		}
@@ -164,11 +164,11 @@
 	}
 
 	@Override
-	public void heartbeat(PeerMessage.Heartbeat heartbeat) {
+	public void heartbeatReceived(PeerMessage.Heartbeat heartbeat) {
 		Instant now = this.clock.instant();
 		heartbeat.sent().forEach((load) -> this.endpoints.peerSent(load.endpoint(), load.requests(), now));
 		heartbeat.leavingEndpoints().forEach(this::leaving);
-		List<SuspectRecord> missing = this.exchange.heard(heartbeat.from(), heartbeat.suspectsDigest());
+		List<SuspectRecord> missing = this.exchange.digestReceived(heartbeat.from(), heartbeat.suspectsDigest());
 		if (!missing.isEmpty()) {
 			this.unsentSuspects.put(heartbeat.from(), missing);
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/PlainCallSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/PlainCallSystem.java
@@ -212,7 +212,7 @@
 		if (result instanceof AttemptResult.Answered answered && answered.status() < MINIMUM_SERVER_ERROR_STATUS) {
 			this.attempts.endAttempt(request, AttemptOutcome.COMPLETED);
 			this.answers.end(request,
-					new AnswerPart.Whole(answered.status(), answered.contentType(), answered.body(), false));
+					new AnswerPart.PlainResponse(answered.status(), answered.contentType(), answered.body(), false));
 			return;
 		}
 		request.outcome = AttemptOutcome.FAILED;
@@ -244,7 +244,7 @@
 	private void fail(RequestEntity request, AttemptResult result, ErrorKind kind, Duration retryAfter) {
 		if (result instanceof AttemptResult.Answered answered) {
 			this.answers.end(request,
-					new AnswerPart.Whole(answered.status(), answered.contentType(), answered.body(), false));
+					new AnswerPart.PlainResponse(answered.status(), answered.contentType(), answered.body(), false));
 			return;
 		}
 		this.answers.fail(request, kind, kind.meaning(), retryAfter);
@@ -264,7 +264,7 @@
 	}
 
 	private static AnswerPart completeAnswer(StoredAnswer answer, boolean repeated) {
-		return new AnswerPart.Whole(answer.status(), answer.contentType(), answer.body(), repeated);
+		return new AnswerPart.PlainResponse(answer.status(), answer.contentType(), answer.body(), repeated);
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/ProfileEntryText.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/ProfileTextCodec.java
@@ -8,7 +8,7 @@
  * Encodes the records and the state of the profiles' stream as text for messages between
  * entries, and decodes them.
  */
-public interface ProfileEntryText {
+public interface ProfileTextCodec {
 
 	/**
 	 * Encodes a record of the stream.
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/RequestSamples.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestSamples.java
@@ -28,10 +28,10 @@
 			Duration total) {
 		Duration target = request.profile.firstTokenTarget();
 		return switch (last) {
-			case AnswerPart.Whole _ -> total.compareTo(target) <= 0;
+			case AnswerPart.PlainResponse _ -> total.compareTo(target) <= 0;
 			case AnswerPart.EndOfText end -> firstToken != null && firstToken.compareTo(target) <= 0
 					&& meetsTokenTarget(end, total.minus(firstToken), request.profile.tokenTarget());
-			case AnswerPart.Failure _, AnswerPart.Accepted _, AnswerPart.StartedOver _, AnswerPart.Text _ -> false;
+			case AnswerPart.Failure _, AnswerPart.Accepted _, AnswerPart.Restarted _, AnswerPart.Text _ -> false;
 		};
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/entry/RequestTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/entry/RequestTable.java
@@ -125,7 +125,7 @@
 
 	private static long retainedBytes(RequestEntity request) {
 		long characters = (request.answer != null) ? request.answer.characters() : 0;
-		long bodyBytes = (request.finalPart instanceof AnswerPart.Whole answer) ? answer.body().length() : 0;
+		long bodyBytes = (request.finalPart instanceof AnswerPart.PlainResponse answer) ? answer.body().length() : 0;
 		return request.call.body().length() + characters + bodyBytes;
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HandoverSystem.java
@@ -229,7 +229,7 @@
 	 * @param request the request
 	 * @return the peers to ask with {@link PeerMessage.FetchAnswer}
 	 */
-	public List<PeerState> probablyKnow(RequestId request) {
+	public List<PeerState> findLikelyPeers(RequestId request) {
 		return this.ranking.probablyKnow(request);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/handover/HeldCopy.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/handover/HeldCopy.java
@@ -54,7 +54,7 @@
 
 	void update(Progress progress) {
 		this.endpoint = progress.endpoint();
-		this.answer.takeCopy(progress.attempt(), progress.pieces());
+		this.answer.appendCopy(progress.attempt(), progress.pieces());
 	}
 
 	void end(long totalOffset, EndOfAnswer how) {
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/HeartbeatSource.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/HeartbeatSource.java
@@ -27,7 +27,7 @@
 	 * Removes and returns the load sent to endpoints since the last call.
 	 * @return the loads; a bounded number of those with the most tokens is sent
 	 */
-	List<EndpointLoad> takeSent();
+	List<EndpointLoad> drainSentLoads();
 
 	/**
 	 * Returns the leaving endpoints.
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipListener.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipListener.java
@@ -41,14 +41,14 @@
 	 * and verdict.
 	 * @param notice the notice
 	 */
-	default void suspect(PeerMessage.SuspectNotice notice) {
+	default void suspectReported(PeerMessage.SuspectNotice notice) {
 	}
 
 	/**
 	 * A heartbeat was received.
 	 * @param heartbeat the heartbeat
 	 */
-	default void heartbeat(PeerMessage.Heartbeat heartbeat) {
+	default void heartbeatReceived(PeerMessage.Heartbeat heartbeat) {
 	}
 
 }
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/MembershipSystem.java
@@ -185,7 +185,7 @@
 	 * Announces that this process terminates now, so that peers need not wait for a
 	 * timeout.
 	 */
-	public void end() {
+	public void announceTermination() {
 		updateSelf(PeerStatus.DEAD);
 	}
 
@@ -195,7 +195,7 @@
 	 * @param endpoints the endpoints on it
 	 * @param reclaimAt the time at which the platform reclaims it
 	 */
-	public void vmLeaving(VmId vm, List<EndpointId> endpoints, Instant reclaimAt) {
+	public void announceVmLeaving(VmId vm, List<EndpointId> endpoints, Instant reclaimAt) {
 		disseminate(new PeerMessage.LeavingNotice(self().incarnation(), vm, endpoints, reclaimAt));
 	}
 
@@ -203,7 +203,7 @@
 	 * Notifies peers immediately of the verdict on a fingerprint.
 	 * @param notice the notice
 	 */
-	public void suspect(PeerMessage.SuspectNotice notice) {
+	public void announceSuspect(PeerMessage.SuspectNotice notice) {
 		disseminate(notice);
 	}
 
@@ -212,7 +212,7 @@
 	 * @param peer the peer
 	 * @param notice the notice
 	 */
-	public void tell(Incarnation peer, PeerMessage.SuspectNotice notice) {
+	public void sendSuspectNotice(Incarnation peer, PeerMessage.SuspectNotice notice) {
 		PeerEntity entity = this.table.entity(peer);
 		if (entity != null) {
 			this.port.send(entity.state().address(), notice);
@@ -242,7 +242,7 @@
 			this.port.send(state.address(), new PeerMessage.MembershipState(self().incarnation(), List.of(state)));
 		}
 		this.digests.compare(heartbeat, state);
-		this.listener.heartbeat(heartbeat);
+		this.listener.heartbeatReceived(heartbeat);
 	}
 
 	private void updateSelf(PeerStatus status) {
@@ -277,7 +277,7 @@
 		if (!this.notices.addIfAbsent("suspect " + notice.fingerprint() + notice.verdict() + notice.endpoint())) {
 			return;
 		}
-		this.listener.suspect(notice);
+		this.listener.suspectReported(notice);
 		this.neighborhood.send(new PeerMessage.SuspectNotice(self().incarnation(), notice.fingerprint(),
 				notice.verdict(), notice.endpoint(), notice.at()));
 	}
@@ -298,7 +298,7 @@
 
 	private void sendHeartbeats() {
 		this.sequence++;
-		List<EndpointLoad> loads = this.source.takeSent()
+		List<EndpointLoad> loads = this.source.drainSentLoads()
 			.stream()
 			.sorted(Comparator.comparingLong(EndpointLoad::tokens).reversed())
 			.limit(this.settings.loadsPerHeartbeat())
--- a/banyancove-core/src/main/java/org/banyancove/core/membership/PeerStateMerger.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/membership/PeerStateMerger.java
@@ -86,7 +86,7 @@
 	// Increments the refutation number, which overrules all earlier states of this
 	// process.
 	void updateSelf(PeerStatus status) {
-		updateSelf(this.self.with(this.self.refutation() + 1, status));
+		updateSelf(this.self.withRefutation(this.self.refutation() + 1, status));
 	}
 
 	/**
@@ -129,7 +129,7 @@
 		boolean terminated = this.self.status() == PeerStatus.DEAD;
 		if (!terminated && state.status().compareTo(PeerStatus.SUSPECTED) >= 0
 				&& state.refutation() >= this.self.refutation()) {
-			updateSelf(this.self.with(state.refutation() + 1, this.self.status()));
+			updateSelf(this.self.withRefutation(state.refutation() + 1, this.self.status()));
 		}
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/peer/PeerState.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/peer/PeerState.java
@@ -55,7 +55,7 @@
 	 * @param newStatus the status
 	 * @return the state
 	 */
-	public PeerState with(long newRefutation, PeerStatus newStatus) {
+	public PeerState withRefutation(long newRefutation, PeerStatus newStatus) {
 		return new PeerState(this.incarnation, this.dataCenter, this.zone, this.address, newRefutation, newStatus);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseElection.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseElector.java
@@ -22,7 +22,7 @@
  * that check fencing numbers refuse it, and for the others all orders contain the
  * complete desired state and are verified by reading it back. Used by one thread.
  */
-public final class LeaseElection {
+public final class LeaseElector {
 
 	private static final int RENEWALS_PER_LEASE = 3;
 
@@ -55,7 +55,7 @@
 	private boolean resigned;
 
 	/**
-	 * Creates the election.
+	 * Creates the elector.
 	 * @param self this process
 	 * @param dataCenter the data center to plan for
 	 * @param clock the clock that determines when to append
@@ -63,7 +63,7 @@
 	 * @param duration the duration of a lease without a renewal
 	 * @param append appends a record to the stream of leases, without retries
 	 */
-	public LeaseElection(Incarnation self, DataCenterName dataCenter, InstantSource clock, RandomGenerator random,
+	public LeaseElector(Incarnation self, DataCenterName dataCenter, InstantSource clock, RandomGenerator random,
 			Duration duration, Consumer<LeaseRecord> append) {
 		this.self = self;
 		this.dataCenter = dataCenter;
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseRecord.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/LeaseRecord.java
@@ -19,7 +19,7 @@
 	 * The maximum duration of a lease without a renewal: a reader of the records of this
 	 * duration at the end of the stream has read a record of every current lease.
 	 */
-	Duration LONGEST = Duration.ofMinutes(10);
+	Duration MAXIMUM_DURATION = Duration.ofMinutes(10);
 
 	/**
 	 * Returns the identifier by which the author recognizes the record.
@@ -55,7 +55,7 @@
 			Objects.requireNonNull(id, "id");
 			Objects.requireNonNull(dataCenter, "dataCenter");
 			Objects.requireNonNull(author, "author");
-			if (!duration.isPositive() || duration.compareTo(LONGEST) > 0) {
+			if (!duration.isPositive() || duration.compareTo(MAXIMUM_DURATION) > 0) {
 				throw new IllegalArgumentException("duration must be positive and at most PT10M: " + duration);
 			}
 		}
@@ -81,7 +81,7 @@
 			if (fence < 0) {
 				throw new IllegalArgumentException("fence must not be negative: " + fence);
 			}
-			if (!duration.isPositive() || duration.compareTo(LONGEST) > 0) {
+			if (!duration.isPositive() || duration.compareTo(MAXIMUM_DURATION) > 0) {
 				throw new IllegalArgumentException("duration must be positive and at most PT10M: " + duration);
 			}
 		}
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSettings.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSettings.java
@@ -24,8 +24,8 @@
 	 */
 	public PlannerSettings {
 		check(lease.isPositive(), "lease", lease);
-		if (lease.compareTo(LeaseRecord.LONGEST) > 0) {
-			throw new IllegalArgumentException("lease must be at most " + LeaseRecord.LONGEST + ": " + lease);
+		if (lease.compareTo(LeaseRecord.MAXIMUM_DURATION) > 0) {
+			throw new IllegalArgumentException("lease must be at most " + LeaseRecord.MAXIMUM_DURATION + ": " + lease);
 		}
 		check(listInterval.isPositive(), "listInterval", listInterval);
 		check(callTimeout.isPositive(), "callTimeout", callTimeout);
--- a/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/planner/PlannerSystem.java
@@ -38,7 +38,7 @@
 
 	private final PlannerPort port;
 
-	private final LeaseElection election;
+	private final LeaseElector elector;
 
 	private final StartBackoff backoff;
 
@@ -87,7 +87,7 @@
 		this.clock = clock;
 		this.settings = settings;
 		this.port = port;
-		this.election = new LeaseElection(self, dataCenter, clock, random, settings.lease(), port::append);
+		this.elector = new LeaseElector(self, dataCenter, clock, random, settings.lease(), port::append);
 		this.backoff = new StartBackoff(settings.refusedStart(), random);
 		this.loadLimiter = new LoadRateLimiter(settings.loadsPerSecond(), settings.loadBurst(), clock.instant());
 		this.orders = new OrderTable(settings.orderInterval());
@@ -98,7 +98,7 @@
 	 * @param target the capacity required after the loss of the largest zone
 	 * @param desiredState the desired state of each engine
 	 */
-	public void want(double target, EngineState desiredState) {
+	public void setDesiredState(double target, EngineState desiredState) {
 		this.target = target;
 		this.desiredState = desiredState;
 		this.planDue = true;
@@ -108,7 +108,7 @@
 	 * Sets the cloud's offers.
 	 * @param offers the offers
 	 */
-	public void offered(Collection<Offer> offers) {
+	public void setOffers(Collection<Offer> offers) {
 		this.offers = List.copyOf(offers);
 		this.planDue = true;
 	}
@@ -119,8 +119,8 @@
 	 * @param record the record
 	 * @param appendedAt the log's time of the append
 	 */
-	public void leaseRead(long offset, LeaseRecord record, Instant appendedAt) {
-		this.election.applyRecord(offset, record, appendedAt);
+	public void applyLeaseRecord(long offset, LeaseRecord record, Instant appendedAt) {
+		this.elector.applyRecord(offset, record, appendedAt);
 	}
 
 	/**
@@ -130,7 +130,7 @@
 	 * @param request the request's number
 	 * @param found all VMs whose tokens have the data center's prefix
 	 */
-	public void listed(long request, List<CloudVm> found) {
+	public void applyList(long request, List<CloudVm> found) {
 		if (request < this.minimumRequest) {
 			return;
 		}
@@ -190,8 +190,8 @@
 	 * Renews the lease and sends the commands that are due.
 	 */
 	public void tick() {
-		this.election.tick();
-		OptionalLong currentFence = this.election.fence();
+		this.elector.tick();
+		OptionalLong currentFence = this.elector.fence();
 		if (currentFence.isEmpty()) {
 			return;
 		}
@@ -217,7 +217,7 @@
 	 * Resigns the lease, on shutdown.
 	 */
 	public void resign() {
-		this.election.resign();
+		this.elector.resign();
 	}
 
 	/**
@@ -225,7 +225,7 @@
 	 * @return the fencing number, empty while it must not act
 	 */
 	public OptionalLong fence() {
-		return this.election.fence();
+		return this.elector.fence();
 	}
 
 	/**
@@ -244,7 +244,7 @@
 	 * Returns the number of engines whose last state read back is the desired one.
 	 * @return the number of engines
 	 */
-	public int enginesAsWanted() {
+	public int enginesInDesiredState() {
 		return this.orders.countMatching(this.desiredState);
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileView.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/profile/ProfileView.java
@@ -76,14 +76,14 @@
 	 * @param page the page
 	 * @return the outcomes of the applied records, in order
 	 */
-	public List<ProfileOutcome> read(ProfilePage page) {
+	public List<ProfileOutcome> apply(ProfilePage page) {
 		if (page.firstRetained() > nextOffset()) {
 			openGap(page.firstRetained());
 		}
 		List<ProfileOutcome> outcomes = new ArrayList<>();
 		for (ProfileEntry entry : page.entries()) {
 			if (entry.offset() == nextOffset()) {
-				read(entry, outcomes);
+				apply(entry, outcomes);
 			}
 		}
 		if (!this.gap && nextOffset() >= page.endOffset()) {
@@ -105,7 +105,7 @@
 		return outcomes;
 	}
 
-	private void read(ProfileEntry entry, List<ProfileOutcome> outcomes) {
+	private void apply(ProfileEntry entry, List<ProfileOutcome> outcomes) {
 		if (!this.gap) {
 			outcomes.add(this.table.apply(entry));
 			return;
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/RetryBudget.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/RetryBudget.java
@@ -60,7 +60,7 @@
 	 * Changes the maximum number of available retries; retries beyond it are discarded.
 	 * @param newMaximum the maximum number of retries
 	 */
-	public void changeMostSaved(double newMaximum) {
+	public void changeMaximumAvailable(double newMaximum) {
 		this.maximumAvailable = newMaximum;
 		this.available = Math.min(this.available, newMaximum);
 	}
@@ -102,7 +102,7 @@
 	 * Returns the number of available retries.
 	 * @return the number of retries, possibly fractional
 	 */
-	public double left() {
+	public double available() {
 		return this.available;
 	}
 
--- a/banyancove-core/src/main/java/org/banyancove/core/retry/RetryRule.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/retry/RetryPolicy.java
@@ -20,7 +20,7 @@
  * budget: accepted work survives an announced reclaim, and the leaving endpoint no longer
  * bears the load. Confined to the tick loop; not thread-safe.
  */
-public final class RetryRule {
+public final class RetryPolicy {
 
 	/**
 	 * With more attempts, a request that no endpoint can serve would occupy many
@@ -35,10 +35,10 @@
 	private final Map<ServiceName, ServiceBudget> budgets = new HashMap<>();
 
 	/**
-	 * Creates the rule.
+	 * Creates the policy.
 	 * @param clock the clock
 	 */
-	public RetryRule(InstantSource clock) {
+	public RetryPolicy(InstantSource clock) {
 		this.clock = clock;
 	}
 
@@ -134,7 +134,7 @@
 		 * available; at least the minimum retry delay
 		 */
 		Duration timeUntilNextRetry(Duration maximum) {
-			double missingRetries = Math.max(0, 1 - this.budget.left());
+			double missingRetries = Math.max(0, 1 - this.budget.available());
 			double nanos = ((missingRetries == 0) ? this.meanIntervalNanos
 					: missingRetries * this.meanIntervalNanos / this.ratio);
 			Duration minimum = ((maximum.compareTo(MINIMUM_RETRY_AFTER) < 0) ? maximum : MINIMUM_RETRY_AFTER);
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointTable.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/EndpointTable.java
@@ -96,7 +96,7 @@
 	 * @param live the live endpoints on the list
 	 * @param asOf the time at which the list is valid
 	 */
-	public void listed(Collection<EndpointDefinition> live, Instant asOf) {
+	public void applyList(Collection<EndpointDefinition> live, Instant asOf) {
 		List<EndpointDefinition> remote = new ArrayList<>();
 		for (EndpointDefinition definition : live) {
 			if (this.region.contains(definition.dataCenter())) {
@@ -290,7 +290,7 @@
 	 * @param now the current time
 	 * @return the delay
 	 */
-	public Duration untilAnyEndpoint(ServiceName service, Profile profile, Instant now) {
+	public Duration retryAfterNoEndpoint(ServiceName service, Profile profile, Instant now) {
 		ServiceEndpoints endpoints = service(service);
 		double secondsWithoutEndpoint = Seconds.of(now) - endpoints.emptySince();
 		double seconds = (Double.isNaN(secondsWithoutEndpoint) ? endpoints.minimumFirstTokenSeconds()
@@ -373,7 +373,7 @@
 	 * @param request the request
 	 * @param now the current time
 	 */
-	public void firstTokenSeen(EndpointId id, RequestId request, Instant now) {
+	public void firstTokenReceived(EndpointId id, RequestId request, Instant now) {
 		Endpoint endpoint = this.endpoints.get(id);
 		if (endpoint == null) {
 			return;
@@ -394,7 +394,7 @@
 	 * @param count the number of tokens received
 	 * @param now the current time
 	 */
-	public void tokensSeen(EndpointId id, RequestId request, int count, Instant now) {
+	public void tokensReceived(EndpointId id, RequestId request, int count, Instant now) {
 		Endpoint endpoint = this.endpoints.get(id);
 		if (endpoint != null) {
 			endpoint.recordTokens(request, count, Seconds.of(now));
--- a/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/routing/PlacementSystem.java
@@ -73,7 +73,7 @@
 		Choice choice = policy(request.profile().policy()).choose(request, endpoints, now);
 		if (choice == null) {
 			return new PlacementDecision.Refused(ErrorKind.NO_ENDPOINT,
-					this.table.untilAnyEndpoint(request.service(), request.profile(), instant));
+					this.table.retryAfterNoEndpoint(request.service(), request.profile(), instant));
 		}
 		Endpoint endpoint = choice.endpoint();
 		Invariant.check(endpoint.state() == EndpointState.LIVE, "work placed on endpoint %s, which is %s",
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamCounters.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamCounters.java
@@ -13,7 +13,7 @@
 
 	private final Map<StreamMove, Long> recomputedTokens = new EnumMap<>(StreamMove.class);
 
-	private long continued;
+	private long continuations;
 
 	private long givenUp;
 
@@ -44,8 +44,8 @@
 	 * decrease.
 	 * @return the number of continuations
 	 */
-	public long continued() {
-		return this.continued;
+	public long continuations() {
+		return this.continuations;
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	}
 
 	void countContinued() {
-		this.continued++;
+		this.continuations++;
 	}
 
 	void countMove(StreamMove move, long tokens) {
--- a/banyancove-core/src/main/java/org/banyancove/core/stream/StreamSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/stream/StreamSystem.java
@@ -76,7 +76,7 @@
 	 */
 	public void adopt(HeldRequest held, Progress progress, long promptTokens, long expectedTokens) {
 		StreamEntity stream = add(held, promptTokens, expectedTokens);
-		boolean contiguous = stream.answer.takeCopy(progress.attempt(), progress.pieces());
+		boolean contiguous = stream.answer.appendCopy(progress.attempt(), progress.pieces());
 		Invariant.check(contiguous, "progress of %s has a gap", held.request());
 		EndpointId endpoint = progress.endpoint();
 		if (!held.deadline().isAfter(this.clock.instant())) {
@@ -217,7 +217,7 @@
 	 * @param attempt the attempt
 	 * @param streamKnown whether the endpoint may still be running the stream
 	 */
-	public void broken(RequestId request, int attempt, boolean streamKnown) {
+	public void connectionFailed(RequestId request, int attempt, boolean streamKnown) {
 		StreamEntity stream = running(request);
 		if (stream == null || stream.answer.attempt() != attempt) {
 			return;
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectDecision.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectDecision.java
@@ -22,7 +22,7 @@
 	 *
 	 * @param excluded the endpoints at which it must not be placed
 	 */
-	record RunApart(Set<EndpointId> excluded) implements SuspectDecision {
+	record RunIsolated(Set<EndpointId> excluded) implements SuspectDecision {
 	}
 
 	/**
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectExchange.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectExchange.java
@@ -62,7 +62,7 @@
 	 * @param digest its {@link SuspectSystem#digest()}
 	 * @return the records to send to it, usually none
 	 */
-	public List<SuspectRecord> heard(Incarnation peer, long digest) {
+	public List<SuspectRecord> digestReceived(Incarnation peer, long digest) {
 		long local = this.suspects.digest();
 		if (local == digest) {
 			this.differences.remove(peer);
--- a/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectSystem.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/suspect/SuspectSystem.java
@@ -72,7 +72,7 @@
 	 * @param fingerprint the request's fingerprint
 	 * @return how it may be run
 	 */
-	public SuspectDecision mayStart(Fingerprint fingerprint) {
+	public SuspectDecision decide(Fingerprint fingerprint) {
 		Suspect suspect = this.suspects.find(fingerprint);
 		if (suspect == null || !isSuspect(suspect)) {
 			return new SuspectDecision.NotSuspect();
@@ -89,7 +89,7 @@
 		if (!this.suspectRuns.getOrDefault(fingerprint, Set.of()).isEmpty()) {
 			return new SuspectDecision.Wait(this.settleTime.plusSeconds(1));
 		}
-		return new SuspectDecision.RunApart(endpointsWithSuspects(suspect));
+		return new SuspectDecision.RunIsolated(endpointsWithSuspects(suspect));
 	}
 
 	/**
@@ -98,7 +98,7 @@
 	 * @param fingerprint the request's fingerprint
 	 * @param endpoint the endpoint
 	 */
-	public void started(RequestId request, Fingerprint fingerprint, EndpointId endpoint) {
+	public void attemptStarted(RequestId request, Fingerprint fingerprint, EndpointId endpoint) {
 		Suspect suspect = this.suspects.find(fingerprint);
 		if (suspect != null && isSuspect(suspect)) {
 			Invariant.check(!suspect.isConfirmed(), "request %s crashed two endpoints and was started again", request);
@@ -115,7 +115,7 @@
 	 * @param endpoint the endpoint
 	 * @param completed whether the complete answer was received, which clears the request
 	 */
-	public void ended(RequestId request, EndpointId endpoint, boolean completed) {
+	public void attemptEnded(RequestId request, EndpointId endpoint, boolean completed) {
 		Map<RequestId, Fingerprint> requests = this.running.get(endpoint);
 		if (requests == null) {
 			return;
@@ -140,7 +140,7 @@
 	 * @param vm the VM
 	 * @param zone its zone
 	 */
-	public void noticeSeen(VmId vm, ZoneName zone) {
+	public void reclaimNoticeReceived(VmId vm, ZoneName zone) {
 		this.lossClassifier.recordNotice(vm, zone, this.clock.instant());
 		reclassifyLosses(zone);
 	}
@@ -201,7 +201,7 @@
 	 * last call.
 	 * @return the records to send to the peers
 	 */
-	public List<SuspectRecord> takeChanged() {
+	public List<SuspectRecord> drainChanged() {
 		List<SuspectRecord> records = new ArrayList<>(this.changed.size());
 		for (Fingerprint fingerprint : this.changed) {
 			Suspect suspect = this.suspects.find(fingerprint);
--- a/banyancove-core/src/test/java/org/banyancove/core/admission/AdmissionSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/admission/AdmissionSystemTests.java
@@ -116,7 +116,7 @@
 						Set.of(), this.now, Optional.empty()),
 				this.now);
 		this.now = this.now.plusMillis(700);
-		this.table.firstTokenSeen(new EndpointId("e0"), new RequestId("late"), this.now);
+		this.table.firstTokenReceived(new EndpointId("e0"), new RequestId("late"), this.now);
 		this.table.attemptEnded(new EndpointId("e0"), new RequestId("late"), AttemptOutcome.COMPLETED, this.now);
 		assertThat(this.table.isCapacityKnown(SERVICE)).isTrue();
 		assertThat(waitingCountOfBurst("known")).isLessThan(3);
--- a/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerBufferTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerBufferTests.java
@@ -108,7 +108,7 @@
 		callers.accept(piece(0, 0, 5));
 		List<Piece> read = this.buffer.readFrom(5);
 		assertThat(read).extracting(Piece::fromOffset).containsExactly(0L, 4L);
-		assertThat(callers.takeCopy(0, read)).isTrue();
+		assertThat(callers.appendCopy(0, read)).isTrue();
 		assertThat(callers.text()).isEqualTo(text(0, 9));
 		assertThat(callers.readFrom(5)).containsExactly(piece(0, 5, 9));
 	}
--- a/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerReaderTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/answer/AnswerReaderTests.java
@@ -18,9 +18,9 @@
 	@Test
 	void piecesWithDifferentBoundariesAreJoinedByText() {
 		AnswerReader reader = new AnswerReader(0);
-		reader.take(List.of(piece(0, 2, "salmon pel")));
-		assertThat(reader.take(List.of(piece(1, 4, "pellets by noon")))).isNull();
-		assertThat(reader.take(List.of(piece(0, 1, "salmon "), piece(1, 4, "pellets by noon"))))
+		reader.accept(List.of(piece(0, 2, "salmon pel")));
+		assertThat(reader.accept(List.of(piece(1, 4, "pellets by noon")))).isNull();
+		assertThat(reader.accept(List.of(piece(0, 1, "salmon "), piece(1, 4, "pellets by noon"))))
 			.containsExactly(piece(2, 4, "lets by noon"));
 	}
 
@@ -31,7 +31,7 @@
 	void newConnectionWithoutBoundaryRestarts() {
 		AnswerReader reader = new AnswerReader(2);
 		List<Piece> pieces = List.of(piece(0, 1, "salmon "), piece(1, 4, "pellets by noon"));
-		assertThat(reader.take(pieces)).isEqualTo(pieces);
+		assertThat(reader.accept(pieces)).isEqualTo(pieces);
 		assertThat(reader.offset()).isEqualTo(4);
 	}
 
@@ -41,8 +41,8 @@
 	@Test
 	void differentTextIsNotJoined() {
 		AnswerReader reader = new AnswerReader(0);
-		reader.take(List.of(piece(0, 2, "salmon pellets")));
-		assertThat(reader.take(List.of(piece(0, 3, "mussel ropes at noon")))).isNull();
+		reader.accept(List.of(piece(0, 2, "salmon pellets")));
+		assertThat(reader.accept(List.of(piece(0, 3, "mussel ropes at noon")))).isNull();
 		assertThat(reader.offset()).isEqualTo(2);
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/burn/BurnTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/burn/BurnTableTests.java
@@ -35,9 +35,9 @@
 		add(Duration.ofDays(2), 600, 0);
 		BurnRow row = this.table.rows().getFirst();
 		assertThat(row.key()).isEqualTo(new BurnKey(DAWN, null));
-		assertThat(row.over(BurnWindow.FIVE_MINUTES).rate()).isCloseTo(10, within(1e-9));
-		assertThat(row.over(BurnWindow.SIX_HOURS).rate()).isCloseTo(2.5, within(1e-9));
-		assertThat(row.over(BurnWindow.THREE_DAYS))
+		assertThat(row.burnOver(BurnWindow.FIVE_MINUTES).rate()).isCloseTo(10, within(1e-9));
+		assertThat(row.burnOver(BurnWindow.SIX_HOURS).rate()).isCloseTo(2.5, within(1e-9));
+		assertThat(row.burnOver(BurnWindow.THREE_DAYS))
 			.satisfies((burn) -> assertThat(burn.rate()).isCloseTo(1, within(1e-9)))
 			.satisfies((burn) -> assertThat(burn.budgetSpent()).isCloseTo(1, within(1e-9)));
 	}
@@ -53,7 +53,7 @@
 		BurnTable recovered = new BurnTable(END.plus(Duration.ofMinutes(10)), (profile) -> 0.95);
 		recovered.add(DAWN, FLEET, END.minus(Duration.ofMinutes(1)), 100, 80);
 		recovered.add(DAWN, FLEET, END.plus(Duration.ofMinutes(9)), 10, 0);
-		assertThat(recovered.rows().getFirst().over(BurnWindow.ONE_HOUR).rate()).isGreaterThan(14);
+		assertThat(recovered.rows().getFirst().burnOver(BurnWindow.ONE_HOUR).rate()).isGreaterThan(14);
 		assertThat(recovered.rows().getFirst().alarms()).containsExactly(BurnAlarm.SLOW);
 	}
 
@@ -77,7 +77,7 @@
 		this.table.add(sample(false, "account_over_limit"));
 		this.table.add(sample(false, "outcome_unknown"));
 		this.table.add(sample(true, null));
-		assertThat(this.table.rows().getLast().over(BurnWindow.FIVE_MINUTES)).satisfies((burn) -> {
+		assertThat(this.table.rows().getLast().burnOver(BurnWindow.FIVE_MINUTES)).satisfies((burn) -> {
 			assertThat(burn.total()).isEqualTo(4);
 			assertThat(burn.missed()).isEqualTo(3);
 		});
@@ -91,7 +91,7 @@
 				Duration.ofMinutes(30));
 		assertThat(history).hasSize(144);
 		assertThat(history.getLast())
-			.isEqualTo(new BurnPoint(END, this.table.rows().getFirst().over(BurnWindow.ONE_HOUR).rate()));
+			.isEqualTo(new BurnPoint(END, this.table.rows().getFirst().burnOver(BurnWindow.ONE_HOUR).rate()));
 		assertThat(history.get(142).rate()).isZero();
 		assertThat(history.get(141).rate()).isCloseTo(10, within(1e-9));
 	}
@@ -105,7 +105,7 @@
 		List<BurnRow> rows = burns.rows();
 		for (BurnWindow window : BurnWindow.values()) {
 			long inWindow = agesInMinutes.stream().filter((age) -> age < window.length().toMinutes()).count();
-			assertThat(rows.stream().mapToLong((row) -> row.over(window).total()).sum()).isEqualTo(4 * inWindow);
+			assertThat(rows.stream().mapToLong((row) -> row.burnOver(window).total()).sum()).isEqualTo(4 * inWindow);
 		}
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/FakeCaller.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/FakeCaller.java
@@ -59,7 +59,7 @@
 	}
 
 	boolean isComplete() {
-		return this.finalPart instanceof AnswerPart.EndOfText || this.finalPart instanceof AnswerPart.Whole;
+		return this.finalPart instanceof AnswerPart.EndOfText || this.finalPart instanceof AnswerPart.PlainResponse;
 	}
 
 	boolean isFailed() {
@@ -110,13 +110,13 @@
 		}
 		switch (deliver.part()) {
 			case AnswerPart.Accepted _ -> this.accepted = true;
-			case AnswerPart.StartedOver _ -> this.nextOffset = 0;
+			case AnswerPart.Restarted _ -> this.nextOffset = 0;
 			case AnswerPart.Text text -> text(text);
 			case AnswerPart.EndOfText end -> {
 				assertThat(this.nextOffset).as("%s is complete", this.id).isEqualTo(FakeEndpoints.TOKENS);
 				this.finalPart = end;
 			}
-			case AnswerPart.Whole whole -> this.finalPart = whole;
+			case AnswerPart.PlainResponse response -> this.finalPart = response;
 			case AnswerPart.Failure failure -> failed(failure);
 		}
 	}
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/FakeEntry.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/FakeEntry.java
@@ -74,7 +74,7 @@
 	}
 
 	boolean isReachable() {
-		return this.alive && !this.pausedUntil.isAfter(this.run.now()) && core().ready();
+		return this.alive && !this.pausedUntil.isAfter(this.run.now()) && core().isReady();
 	}
 
 	void kill() {
@@ -141,7 +141,7 @@
 				EntryRun.zone(dataCenter()), address());
 		Set<DataCenterName> nearby = IntStream.range(0, 3).mapToObj(EntryRun::dataCenter).collect(Collectors.toSet());
 		int ownIncarnation = this.incarnation;
-		this.core = new EntryCore(identity, EntrySettings.defaults(nearby), new InMemoryText(), this.run::now,
+		this.core = new EntryCore(identity, EntrySettings.defaults(nearby), new InMemoryTextCodec(), this.run::now,
 				RandomGeneratorFactory.of("L64X128MixRandom").create(this.incarnation),
 				(command) -> execute(ownIncarnation, command));
 		tick(ownIncarnation);
@@ -187,7 +187,7 @@
 	/**
 	 * Keeps the encoded objects in memory; the JSON codec has tests of its own.
 	 */
-	private final class InMemoryText implements ProfileEntryText {
+	private final class InMemoryTextCodec implements ProfileTextCodec {
 
 		@Override
 		public String write(ProfileEntry entry) {
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/ProfileReaderFleet.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/ProfileReaderFleet.java
@@ -167,7 +167,7 @@
 					new ZoneName("zone-" + number % 3), this.address);
 			this.core = new EntryCore(identity,
 					EntrySettings.defaults(Set.of()).withProfileReaders(ProfileReaderFleet.this.readers),
-					new InMemoryTexts(), () -> ProfileReaderFleet.this.now,
+					new InMemoryTextCodec(), () -> ProfileReaderFleet.this.now,
 					RandomGeneratorFactory.of("L64X128MixRandom").create(810 + start), this::execute);
 		}
 
@@ -227,7 +227,7 @@
 	/**
 	 * Keeps the encoded objects in memory; the JSON codec has tests of its own.
 	 */
-	private final class InMemoryTexts implements ProfileEntryText {
+	private final class InMemoryTextCodec implements ProfileTextCodec {
 
 		@Override
 		public String write(ProfileEntry entry) {
--- a/banyancove-core/src/test/java/org/banyancove/core/entry/ProfileReadersTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/entry/ProfileReadersTests.java
@@ -96,7 +96,7 @@
 		ProfileReaderFleet.Member joined = fleet.join();
 		joined.partitionedFromLog = true;
 		assertThat(fleet.runUntilApplied(MAXIMUM_DELAY)).isLessThan(MAXIMUM_DELAY);
-		assertThat(joined.core.ready()).isTrue();
+		assertThat(joined.core.isReady()).isTrue();
 	}
 
 	// One reader cannot reach the log: its followers read the log themselves, those
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/EntryFleet.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/EntryFleet.java
@@ -264,7 +264,7 @@
 		Instant reclaimAt = this.now.plusSeconds(12);
 		List<FakeEntry> running = List.copyOf(this.entries.values());
 		FakeEntry first = running.get(this.random.nextInt(running.size()));
-		first.membership.vmLeaving(new VmId(engine.id.value()), List.of(engine.id), reclaimAt);
+		first.membership.announceVmLeaving(new VmId(engine.id.value()), List.of(engine.id), reclaimAt);
 		at(reclaimAt, () -> killEngine(engine));
 		startEngine();
 	}
@@ -330,7 +330,7 @@
 		FakeEngine engine = this.engines.get(endpoint);
 		FakeEngine.Connection connection = new FakeEngine.Connection(entry.self.address(), request, attempt);
 		if (engine == null || (!begin && !engine.knows(request))) {
-			entry.streams.broken(request, attempt, false);
+			entry.streams.connectionFailed(request, attempt, false);
 		}
 		else if (begin) {
 			engine.start(connection, (int) from);
@@ -483,7 +483,7 @@
 			PeerMessage.FetchAnswer fetch = new PeerMessage.FetchAnswer(entry.self.incarnation(), request, ACCOUNT,
 					caller.offset);
 			entry.handover.receive(fetch);
-			for (PeerState peer : entry.handover.probablyKnow(request)) {
+			for (PeerState peer : entry.handover.findLikelyPeers(request)) {
 				send(entry.self, peer.address(), fetch);
 			}
 		}
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/FakeCaller.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/FakeCaller.java
@@ -57,7 +57,7 @@
 		if (by != this.entry || this.state == State.WHOLE) {
 			return;
 		}
-		List<Piece> delivered = this.reader.take(pieces);
+		List<Piece> delivered = this.reader.accept(pieces);
 		if (delivered == null) {
 			this.reader = new AnswerReader(this.offset);
 			return;
--- a/banyancove-core/src/test/java/org/banyancove/core/handover/FakeEntry.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/handover/FakeEntry.java
@@ -205,7 +205,7 @@
 	}
 
 	@Override
-	public List<EndpointLoad> takeSent() {
+	public List<EndpointLoad> drainSentLoads() {
 		return List.of();
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipFleet.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipFleet.java
@@ -135,7 +135,7 @@
 		}
 
 		@Override
-		public List<EndpointLoad> takeSent() {
+		public List<EndpointLoad> drainSentLoads() {
 			return List.of();
 		}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/membership/MembershipSystemTests.java
@@ -119,7 +119,7 @@
 		this.fleet.run(Duration.ofSeconds(30));
 		this.fleet.lossProbability = 0.2;
 		VmId vm = new VmId("engine-1");
-		this.fleet.member(SEED).system.vmLeaving(vm, List.of(new EndpointId("engine-1")), Instant.EPOCH);
+		this.fleet.member(SEED).system.announceVmLeaving(vm, List.of(new EndpointId("engine-1")), Instant.EPOCH);
 		this.fleet.run(Duration.ofSeconds(1));
 		assertThat(this.fleet.members.values())
 			.allSatisfy((member) -> assertThat(member.leavingVms).containsExactly(vm));
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerMeasurement.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerMeasurement.java
@@ -126,8 +126,8 @@
 							false));
 				}
 			});
-			this.system.offered(offers);
-			this.system.want(target, this.state);
+			this.system.setOffers(offers);
+			this.system.setDesiredState(target, this.state);
 			this.system.tick();
 		}
 
@@ -135,7 +135,7 @@
 		public void run() {
 			this.now = this.now.plusSeconds(6);
 			this.system.tick();
-			this.system.listed(this.lists, this.vms);
+			this.system.applyList(this.lists, this.vms);
 			this.system.tick();
 			this.reads.forEach((vm) -> this.system.orderAnswered(vm, new OrderResult.ReadBack(this.state)));
 			this.reads.clear();
@@ -143,7 +143,7 @@
 
 		@Override
 		public void append(LeaseRecord record) {
-			this.system.leaseRead(0, record, this.now);
+			this.system.applyLeaseRecord(0, record, this.now);
 		}
 
 		@Override
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSimulation.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSimulation.java
@@ -185,7 +185,7 @@
 		assertThat(live).as("VMs, %s", this).isEqualTo(holders.getFirst().system.plan().counts());
 		assertThat(liveVms()).as("engines, %s", this)
 			.allSatisfy((vm) -> assertThat(vm.state).isEqualTo(this.desiredState));
-		assertThat(holders.getFirst().system.enginesAsWanted()).isEqualTo(liveVms().size());
+		assertThat(holders.getFirst().system.enginesInDesiredState()).isEqualTo(liveVms().size());
 	}
 
 	private List<Vm> liveVms() {
@@ -287,14 +287,14 @@
 			this.self = new Incarnation(new VmId("entry-" + index), PlannerSimulation.this.random.nextLong());
 			this.system = new PlannerSystem(this.self, DATA_CENTER, () -> PlannerSimulation.this.now,
 					PlannerSimulation.this.random.split(), SETTINGS, this);
-			this.system.want(PlannerSimulation.this.target, PlannerSimulation.this.desiredState);
-			this.system.offered(PlannerSimulation.this.offers);
+			this.system.setDesiredState(PlannerSimulation.this.target, PlannerSimulation.this.desiredState);
+			this.system.setOffers(PlannerSimulation.this.offers);
 		}
 
 		void receiveDesiredState() {
 			double newTarget = PlannerSimulation.this.target;
 			EngineState newState = PlannerSimulation.this.desiredState;
-			this.inbox.add((target) -> target.want(newTarget, newState));
+			this.inbox.add((target) -> target.setDesiredState(newTarget, newState));
 		}
 
 		void step() {
@@ -309,7 +309,7 @@
 			messages.forEach((message) -> message.accept(this.system));
 			while (!simulation.now.isBefore(simulation.logDownUntil) && this.nextOffset < simulation.leases.size()) {
 				Logged logged = simulation.leases.get(this.nextOffset);
-				this.system.leaseRead(this.nextOffset++, logged.record(), logged.at());
+				this.system.applyLeaseRecord(this.nextOffset++, logged.record(), logged.at());
 			}
 		}
 
@@ -332,7 +332,7 @@
 					.map((entry) -> new CloudVm(entry.getValue().id, entry.getKey(), entry.getValue().kind,
 							entry.getValue().ended))
 					.toList();
-				reply(injectFault("list slow", 0.05), (target) -> target.listed(request, found));
+				reply(injectFault("list slow", 0.05), (target) -> target.applyList(request, found));
 			});
 		}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/planner/PlannerSystemTests.java
@@ -46,10 +46,10 @@
 			new SplittableRandom(1), PlannerSettings.defaults(), this);
 
 	PlannerSystemTests() {
-		this.system.want(1, DESIRED_STATE);
-		this.system.offered(List.of(ON_DEMAND));
+		this.system.setDesiredState(1, DESIRED_STATE);
+		this.system.setOffers(List.of(ON_DEMAND));
 		tickAfter(Duration.ZERO);
-		this.system.leaseRead(0, this.appended.getFirst(), this.now);
+		this.system.applyLeaseRecord(0, this.appended.getFirst(), this.now);
 	}
 
 	// The cloud starts a VM and its answer is lost. The planner retries with the same
@@ -57,7 +57,7 @@
 	@Test
 	void unansweredStartIsRetriedWithSameToken() {
 		tickAfter(Duration.ZERO);
-		this.system.listed(this.lists.getLast(), List.of());
+		this.system.applyList(this.lists.getLast(), List.of());
 		tickAfter(Duration.ZERO);
 		this.system.startAnswered(this.started.getFirst(), new StartResult.Unanswered());
 		tickAfter(PlannerSettings.defaults().callTimeout());
@@ -73,7 +73,7 @@
 		tickAfter(Duration.ZERO);
 		tickAfter(Duration.ofMillis(10));
 		assertThat(this.started).isEmpty();
-		this.system.listed(this.lists.getLast(), List.of(VM));
+		this.system.applyList(this.lists.getLast(), List.of(VM));
 		tickAfter(Duration.ofMillis(10));
 		assertThat(this.started).isEmpty();
 	}
@@ -84,15 +84,15 @@
 	@Test
 	void noStartBasedOnListOfEarlierLease() {
 		tickAfter(Duration.ZERO);
-		this.system.listed(this.lists.getLast(), List.of());
+		this.system.applyList(this.lists.getLast(), List.of());
 		tickAfter(Duration.ZERO);
 		assertThat(this.started).hasSize(1);
 		Duration lease = PlannerSettings.defaults().lease();
 		Incarnation other = new Incarnation(new VmId("other"), 2);
-		this.system.leaseRead(1, new LeaseRecord.Renewed(new RecordId("r"), NORTH, other, 1, lease), this.now);
+		this.system.applyLeaseRecord(1, new LeaseRecord.Renewed(new RecordId("r"), NORTH, other, 1, lease), this.now);
 		tickAfter(lease);
-		this.system.leaseRead(2, this.appended.getLast(), this.now);
-		this.system.want(2, DESIRED_STATE);
+		this.system.applyLeaseRecord(2, this.appended.getLast(), this.now);
+		this.system.setDesiredState(2, DESIRED_STATE);
 		tickAfter(Duration.ofMillis(10));
 		assertThat(this.system.fence()).hasValue(2);
 		assertThat(this.started).hasSize(1);
@@ -104,7 +104,7 @@
 	@Test
 	void engineChangedByFormerHolderIsOrderedAgain() {
 		tickAfter(Duration.ZERO);
-		this.system.listed(this.lists.getLast(), List.of(VM));
+		this.system.applyList(this.lists.getLast(), List.of(VM));
 		tickAfter(Duration.ZERO);
 		this.system.orderAnswered(VM.id(), new OrderResult.ReadBack(DESIRED_STATE));
 		int before = this.readBacks;
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileRun.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileRun.java
@@ -147,7 +147,7 @@
 
 	private void readPage(ProfileView reader) {
 		boolean hadGap = reader.hasGap();
-		List<ProfileOutcome> outcomes = reader.read(this.log.read(reader.nextOffset(), 1 + this.random.nextInt(30)));
+		List<ProfileOutcome> outcomes = reader.apply(this.log.read(reader.nextOffset(), 1 + this.random.nextInt(30)));
 		outcomes.forEach(this.oracle::check);
 		if (!hadGap && reader.hasGap()) {
 			count(Event.GAP_OPENED);
@@ -241,7 +241,7 @@
 	private void readToEnd(ProfileView reader) {
 		do {
 			long before = reader.nextOffset();
-			reader.read(this.log.read(before, 1000)).forEach(this.oracle::check);
+			reader.apply(this.log.read(before, 1000)).forEach(this.oracle::check);
 			this.oracle.check(reader);
 			assertThat(reader.nextOffset() > before || before == this.log.endOffset()).as("reader advances").isTrue();
 		}
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileTableTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileTableTests.java
@@ -120,11 +120,11 @@
 			log.append((expected < -1) ? null : Samples.change("r" + expected, expected, "p" + expected % 2, 1));
 		}
 		ProfileView atOnce = new ProfileView();
-		expectedOutcomes.addAll(atOnce.read(log.read(0, 100)));
+		expectedOutcomes.addAll(atOnce.apply(log.read(0, 100)));
 		ProfileView inPages = new ProfileView();
 		List<ProfileOutcome> outcomes = new ArrayList<>();
 		while (inPages.nextOffset() < log.endOffset()) {
-			outcomes.addAll(inPages.read(log.read(Math.max(0, inPages.nextOffset() - overlap), pageSize + overlap)));
+			outcomes.addAll(inPages.apply(log.read(Math.max(0, inPages.nextOffset() - overlap), pageSize + overlap)));
 		}
 		assertThat(outcomes).isEqualTo(expectedOutcomes);
 		assertThat(inPages.table().exportState()).isEqualTo(atOnce.table().exportState());
--- a/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileViewTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/profile/ProfileViewTests.java
@@ -19,7 +19,7 @@
 	void viewThatHasReadNothingIsNotStarted() {
 		ProfileView view = new ProfileView();
 		assertThat(view.isStarted()).isFalse();
-		view.read(this.log.read(0, 10));
+		view.apply(this.log.read(0, 10));
 		assertThat(view.isStarted()).isTrue();
 	}
 
@@ -32,17 +32,17 @@
 		ProfileView writer = new ProfileView();
 		ProfileView slow = new ProfileView();
 		this.log.append(Samples.change("a", -1, "dawn", 0));
-		slow.read(this.log.read(0, 10));
+		slow.apply(this.log.read(0, 10));
 		this.log.append(Samples.change("b", 0, "dawn", 1));
-		writer.read(this.log.read(0, 10));
+		writer.apply(this.log.read(0, 10));
 		ProfileTableState state = writer.table().exportState();
 		this.log.append(Samples.change("c", 1, "dawn", 2));
 		this.log.trimTo(2);
-		slow.read(this.log.read(slow.nextOffset(), 10));
+		slow.apply(this.log.read(slow.nextOffset(), 10));
 		assertThat(slow.hasGap()).isTrue();
 		assertThat(priority(slow)).isZero();
 		this.log.append(new ProfileRecord.ProfilesCheckpoint(state));
-		slow.read(this.log.read(slow.nextOffset(), 10));
+		slow.apply(this.log.read(slow.nextOffset(), 10));
 		assertThat(slow.hasGap()).isFalse();
 		assertThat(priority(slow)).isEqualTo(2);
 	}
@@ -54,11 +54,11 @@
 	void newViewWithoutCheckpointRequiresPeerState() {
 		ProfileView peer = new ProfileView();
 		this.log.append(Samples.change("a", -1, "dawn", 0));
-		peer.read(this.log.read(0, 10));
+		peer.apply(this.log.read(0, 10));
 		this.log.append(Samples.change("b", 0, "dawn", 1));
 		this.log.trimTo(1);
 		ProfileView newView = new ProfileView();
-		newView.read(this.log.read(0, 10));
+		newView.apply(this.log.read(0, 10));
 		assertThat(newView.isStarted()).isFalse();
 		assertThat(newView.hasGap()).isTrue();
 		assertThat(newView.importState(peer.table().exportState())).hasSize(1);
@@ -73,14 +73,14 @@
 	void checkpointIsDueAgainWithoutChanges() {
 		ProfileView view = new ProfileView();
 		CheckpointSchedule schedule = new CheckpointSchedule(Duration.ofHours(1), 100, () -> this.now, new Random(1));
-		view.read(this.log.read(0, 10));
+		view.apply(this.log.read(0, 10));
 		assertThat(dueWithin(schedule, view, Duration.ofDays(1))).as("nothing is published").isFalse();
 		this.log.append(Samples.change("a", -1, "dawn", 0));
-		view.read(this.log.read(0, 10));
+		view.apply(this.log.read(0, 10));
 		assertThat(dueWithin(schedule, view, Duration.ofMinutes(31))).isTrue();
 		this.now = Instant.parse("2026-01-01T00:00:00Z");
 		this.log.append(new ProfileRecord.ProfilesCheckpoint(view.table().exportState()));
-		view.read(this.log.read(0, 10));
+		view.apply(this.log.read(0, 10));
 		assertThat(dueWithin(schedule, view, Duration.ofMinutes(59))).isFalse();
 		assertThat(dueWithin(schedule, view, Duration.ofMinutes(32))).isTrue();
 	}
@@ -100,7 +100,7 @@
 		for (int second = 0; second < 1800; second++) {
 			this.now = this.now.plusSeconds(1);
 			for (int i = 0; i < views.length; i++) {
-				views[i].read(this.log.read(views[i].nextOffset(), 10));
+				views[i].apply(this.log.read(views[i].nextOffset(), 10));
 				ProfileRecord.ProfilesCheckpoint checkpoint = schedules[i].due(views[i]);
 				if (checkpoint != null) {
 					this.log.append(checkpoint);
--- a/banyancove-core/src/test/java/org/banyancove/core/retry/RetryRuleTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/retry/RetryPolicyTests.java
@@ -15,7 +15,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RetryRuleTests {
+class RetryPolicyTests {
 
 	private static final ServiceName SERVICE = new ServiceName("orders");
 
@@ -27,21 +27,21 @@
 
 	private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
-	private final RetryRule rule = new RetryRule((InstantSource) () -> this.now);
+	private final RetryPolicy policy = new RetryPolicy((InstantSource) () -> this.now);
 
 	@Test
 	void nonRepeatableCallIsRetriedOnlyIfKnownNotRun() {
-		RetryDecision.GiveUp givenUp = (RetryDecision.GiveUp) this.rule.decide(failed(false, false, 1));
+		RetryDecision.GiveUp givenUp = (RetryDecision.GiveUp) this.policy.decide(failed(false, false, 1));
 		assertThat(givenUp.kind()).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
-		assertThat(this.rule.decide(failed(false, true, 1))).isEqualTo(new RetryDecision.Retry(FAILED));
+		assertThat(this.policy.decide(failed(false, true, 1))).isEqualTo(new RetryDecision.Retry(FAILED));
 	}
 
 	@Test
 	void attemptsAndTimeAreBounded() {
-		assertThat(this.rule.decide(failed(true, false, 3))).isInstanceOf(RetryDecision.GiveUp.class);
+		assertThat(this.policy.decide(failed(true, false, 3))).isInstanceOf(RetryDecision.GiveUp.class);
 		RetryRequest request = failed(true, false, 1);
 		this.now = this.now.plusSeconds(10);
-		assertThat(this.rule.decide(request)).isInstanceOf(RetryDecision.GiveUp.class);
+		assertThat(this.policy.decide(request)).isInstanceOf(RetryDecision.GiveUp.class);
 	}
 
 	// All endpoints fail and the budget is exhausted. Each caller then immediately
@@ -50,14 +50,14 @@
 	@Test
 	void retryDelayOfExhaustedBudgetFollowsItsReplenishmentRate() {
 		for (int i = 0; i < 200; i++) {
-			this.rule.firstAttempt(SERVICE, PROFILE);
+			this.policy.firstAttempt(SERVICE, PROFILE);
 			this.now = this.now.plusMillis(20);
 		}
-		RetryDecision decision = this.rule.decide(failed(true, false, 1));
+		RetryDecision decision = this.policy.decide(failed(true, false, 1));
 		while (decision instanceof RetryDecision.Retry) {
-			decision = this.rule.decide(failed(true, false, 1));
+			decision = this.policy.decide(failed(true, false, 1));
 		}
-		assertThat(this.rule.budget(SERVICE).orElseThrow().retries()).isEqualTo(23);
+		assertThat(this.policy.budget(SERVICE).orElseThrow().retries()).isEqualTo(23);
 		assertThat(((RetryDecision.GiveUp) decision).retryAfter()).isBetween(Duration.ofMillis(190),
 				Duration.ofMillis(210));
 	}
@@ -69,11 +69,11 @@
 	void requestsOfLostEndpointAreRetriedBeyondTheBudget() {
 		RetryRequest lost = new RetryRequest(SERVICE, PROFILE, true, false, true, FAILED, 1, this.now);
 		for (int i = 0; i < 50; i++) {
-			assertThat(this.rule.decide(lost)).isInstanceOf(RetryDecision.Retry.class);
+			assertThat(this.policy.decide(lost)).isInstanceOf(RetryDecision.Retry.class);
 		}
-		assertThat(this.rule.budget(SERVICE).orElseThrow().retries()).isZero();
+		assertThat(this.policy.budget(SERVICE).orElseThrow().retries()).isZero();
 		RetryRequest third = new RetryRequest(SERVICE, PROFILE, true, false, true, FAILED, 3, this.now);
-		assertThat(this.rule.decide(third)).isInstanceOf(RetryDecision.GiveUp.class);
+		assertThat(this.policy.decide(third)).isInstanceOf(RetryDecision.GiveUp.class);
 	}
 
 	private RetryRequest failed(boolean repeatable, boolean knownNotRun, int attempts) {
--- a/banyancove-core/src/test/java/org/banyancove/core/routing/EndpointRegionTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/routing/EndpointRegionTests.java
@@ -34,22 +34,22 @@
 	void remoteEndpointsAreUsedOnlyWhileTheRegionHasNone() {
 		List<EndpointDefinition> list = new ArrayList<>(remoteEndpoints(200));
 		list.add(definition("near", "trou-deau"));
-		this.table.listed(list, this.now);
+		this.table.applyList(list, this.now);
 		assertThat(this.table.all()).extracting((endpoint) -> endpoint.id().value()).containsExactly("near");
 		this.table.markLeaving(new VmId("vm-near"), this.now.plusSeconds(30), this.now);
-		this.table.listed(list, this.now);
+		this.table.applyList(list, this.now);
 		assertThat(this.table.liveCount(RoutingFixtures.SERVICE)).isEqualTo(EndpointTable.MAXIMUM_REMOTE_ENDPOINTS);
 		EndpointId used = place("1");
 		List<EndpointDefinition> updatedList = new ArrayList<>(list);
 		updatedList.add(definition("new", "mahebourg"));
-		this.table.listed(updatedList, this.now);
+		this.table.applyList(updatedList, this.now);
 		assertThat(this.table.byService(RoutingFixtures.SERVICE)).extracting((endpoint) -> endpoint.id().value())
 			.containsExactlyInAnyOrder("new", used.value());
 		this.table.attemptEnded(used,
 				RoutingFixtures.request("1", PlacementPolicyName.COST_AT_TARGET, List.of(), Set.of(), this.now)
 					.request(),
 				AttemptOutcome.COMPLETED, this.now);
-		this.table.listed(updatedList, this.now);
+		this.table.applyList(updatedList, this.now);
 		assertThat(this.table.liveCount(RoutingFixtures.SERVICE)).isEqualTo(1);
 	}
 
@@ -57,8 +57,8 @@
 	void entriesSelectDifferentRemoteEndpoints() {
 		EndpointTable other = new EndpointTable(
 				EndpointRegion.of(OWN_DATA_CENTER, Set.of(new DataCenterName("trou-deau"))), 6);
-		this.table.listed(remoteEndpoints(2000), this.now);
-		other.listed(remoteEndpoints(2000), this.now);
+		this.table.applyList(remoteEndpoints(2000), this.now);
+		other.applyList(remoteEndpoints(2000), this.now);
 		Set<EndpointId> common = new HashSet<>(this.table.all().stream().map(Endpoint::id).toList());
 		common.retainAll(other.all().stream().map(Endpoint::id).toList());
 		assertThat(common).hasSizeLessThan(EndpointTable.MAXIMUM_REMOTE_ENDPOINTS / 2);
@@ -69,7 +69,7 @@
 	// never reported, so counting them permanently would block all admission.
 	@Test
 	void requestsSentByPeersExpireWithoutLoadReports() {
-		this.table.listed(List.of(definition("near", "mahebourg")), this.now);
+		this.table.applyList(List.of(definition("near", "mahebourg")), this.now);
 		this.table.loadReported(new EndpointId("near"), new LoadReport(this.now, 0, 0, 0, 0, 0));
 		for (int second = 0; second < 300; second++) {
 			this.now = this.now.plusSeconds(1);
@@ -77,7 +77,7 @@
 		}
 		assertThat(this.table.find(new EndpointId("near")).orElseThrow().inFlight()).isEqualTo(10);
 		this.now = this.now.plusSeconds(20);
-		this.table.listed(List.of(definition("near", "mahebourg")), this.now);
+		this.table.applyList(List.of(definition("near", "mahebourg")), this.now);
 		assertThat(this.table.find(new EndpointId("near")).orElseThrow().inFlight()).isZero();
 		assertThat(this.table.freeCapacity(RoutingFixtures.SERVICE)).isEqualTo(ConcurrencyLimit.INITIAL_LIMIT);
 	}
--- a/banyancove-core/src/test/java/org/banyancove/core/routing/PlacementSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/routing/PlacementSystemTests.java
@@ -139,9 +139,9 @@
 		this.table.attemptStarted(new PlacementDecision.Placed(id, Duration.ZERO, Duration.ZERO, 200), request,
 				this.now);
 		this.now = this.now.plusMillis(millis);
-		this.table.firstTokenSeen(id, request.request(), this.now);
+		this.table.firstTokenReceived(id, request.request(), this.now);
 		this.now = this.now.plusMillis(millis);
-		this.table.tokensSeen(id, request.request(), 50, this.now);
+		this.table.tokensReceived(id, request.request(), 50, this.now);
 		this.table.attemptEnded(id, request.request(), AttemptOutcome.COMPLETED, this.now);
 	}
 
--- a/banyancove-core/src/test/java/org/banyancove/core/suspect/DecisionRun.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/suspect/DecisionRun.java
@@ -31,8 +31,8 @@
 import org.banyancove.core.profile.Profile;
 import org.banyancove.core.retry.RetryBudget;
 import org.banyancove.core.retry.RetryDecision;
+import org.banyancove.core.retry.RetryPolicy;
 import org.banyancove.core.retry.RetryRequest;
-import org.banyancove.core.retry.RetryRule;
 import org.banyancove.core.routing.AttemptOutcome;
 import org.banyancove.core.routing.CacheChange;
 import org.banyancove.core.routing.Endpoint;
@@ -305,7 +305,7 @@
 
 		private final AdmissionSystem admission = new AdmissionSystem(this.table, this.clock);
 
-		private final RetryRule retries = new RetryRule(this.clock);
+		private final RetryPolicy retries = new RetryPolicy(this.clock);
 
 		private final SuspectSystem suspects = new SuspectSystem(this.clock, Duration.ofSeconds(1));
 
@@ -334,7 +334,7 @@
 		}
 
 		void announceReclaim(EndpointDefinition definition) {
-			this.suspects.noticeSeen(definition.vm(), definition.zone());
+			this.suspects.reclaimNoticeReceived(definition.vm(), definition.zone());
 			this.table.markLeaving(definition.vm(), DecisionRun.this.now.plusSeconds(30), DecisionRun.this.now);
 		}
 
@@ -364,17 +364,17 @@
 			}
 			else if (!call.firstToken) {
 				call.firstToken = true;
-				this.table.firstTokenSeen(endpoint, call.id, DecisionRun.this.now);
+				this.table.firstTokenReceived(endpoint, call.id, DecisionRun.this.now);
 			}
 			else if (DecisionRun.this.random.nextInt(30) == 0) {
 				count(Fault.FAILED_ATTEMPT);
-				this.suspects.ended(call.id, endpoint, false);
+				this.suspects.attemptEnded(call.id, endpoint, false);
 				this.table.attemptEnded(endpoint, call.id, AttemptOutcome.FAILED, DecisionRun.this.now);
 				attemptFailed(call);
 			}
 			else {
-				this.table.tokensSeen(endpoint, call.id, 10, DecisionRun.this.now);
-				this.suspects.ended(call.id, endpoint, true);
+				this.table.tokensReceived(endpoint, call.id, 10, DecisionRun.this.now);
+				this.suspects.attemptEnded(call.id, endpoint, true);
 				this.table.attemptEnded(endpoint, call.id, AttemptOutcome.COMPLETED, DecisionRun.this.now);
 				DecisionRun.this.completed++;
 				end(call);
@@ -414,9 +414,9 @@
 				return;
 			}
 			Set<EndpointId> excluded = new HashSet<>(call.failedAt);
-			switch (this.suspects.mayStart(call.fingerprint)) {
+			switch (this.suspects.decide(call.fingerprint)) {
 				case SuspectDecision.NotSuspect notSuspect -> place(call, excluded);
-				case SuspectDecision.RunApart isolated -> {
+				case SuspectDecision.RunIsolated isolated -> {
 					excluded.addAll(isolated.excluded());
 					place(call, excluded);
 				}
@@ -440,7 +440,7 @@
 					call.attempts++;
 					call.firstToken = false;
 					this.table.attemptStarted(placed, request, DecisionRun.this.now);
-					this.suspects.started(call.id, call.fingerprint, placed.endpoint());
+					this.suspects.attemptStarted(call.id, call.fingerprint, placed.endpoint());
 				}
 				case PlacementDecision.Refused answer -> assertThat(answer.retryAfter()).isPositive();
 			}
--- a/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectExchangeTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectExchangeTests.java
@@ -38,7 +38,7 @@
 		for (int number = 0; number < SUSPECTS; number++) {
 			first.crash(number, "a" + number);
 			first.crash(number, "b" + number);
-			for (SuspectRecord record : first.suspects.takeChanged()) {
+			for (SuspectRecord record : first.suspects.drainChanged()) {
 				if (random.nextDouble() >= LOSS_PROBABILITY) {
 					second.suspects.merge(List.of(record));
 				}
@@ -54,11 +54,11 @@
 		for (Entry entry : List.of(second, third)) {
 			assertThat(entry.suspects.digest()).isEqualTo(first.suspects.digest());
 			for (int number = 0; number < SUSPECTS; number++) {
-				assertThat(entry.suspects.mayStart(fingerprint(number))).isInstanceOf(SuspectDecision.Refused.class);
+				assertThat(entry.suspects.decide(fingerprint(number))).isInstanceOf(SuspectDecision.Refused.class);
 			}
 		}
 		assertThat(sent).isLessThan(20 * SUSPECTS);
-		assertThat(first.exchange.heard(second.incarnation, second.suspects.digest())).isEmpty();
+		assertThat(first.exchange.digestReceived(second.incarnation, second.suspects.digest())).isEmpty();
 	}
 
 	// One entry cleared a request that the other still suspects. Their digests
@@ -69,24 +69,25 @@
 		Entry first = new Entry(1);
 		Entry second = new Entry(2);
 		first.crash(0, "a");
-		second.suspects.merge(first.suspects.takeChanged());
+		second.suspects.merge(first.suspects.drainChanged());
 		this.now = this.now.plusSeconds(1);
-		second.suspects.started(new RequestId("r"), fingerprint(0), new EndpointId("c"));
-		second.suspects.ended(new RequestId("r"), new EndpointId("c"), true);
+		second.suspects.attemptStarted(new RequestId("r"), fingerprint(0), new EndpointId("c"));
+		second.suspects.attemptEnded(new RequestId("r"), new EndpointId("c"), true);
 		int sent = 0;
 		for (int round = 0; round < 600; round++) {
 			this.now = this.now.plusSeconds(1);
 			sent += heartbeat(second, first, new Random(1));
 		}
 		assertThat(sent).isBetween(1, 6);
-		assertThat(second.suspects.mayStart(fingerprint(0))).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(second.suspects.decide(fingerprint(0))).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
 	private int heartbeat(Entry from, Entry to, Random random) {
 		if (random.nextDouble() < LOSS_PROBABILITY) {
 			return 0;
 		}
-		List<SuspectRecord> sent = new ArrayList<>(to.exchange.heard(from.incarnation, from.suspects.digest()));
+		List<SuspectRecord> sent = new ArrayList<>(
+				to.exchange.digestReceived(from.incarnation, from.suspects.digest()));
 		for (SuspectRecord record : sent) {
 			if (random.nextDouble() >= LOSS_PROBABILITY) {
 				from.suspects.merge(List.of(record));
@@ -114,7 +115,7 @@
 
 		void crash(int number, String endpoint) {
 			EndpointId id = new EndpointId(endpoint);
-			this.suspects.started(new RequestId("r" + number), fingerprint(number), id);
+			this.suspects.attemptStarted(new RequestId("r" + number), fingerprint(number), id);
 			this.suspects.endpointLost(id, new VmId("vm-" + endpoint), new ZoneName("z-" + endpoint));
 			SuspectExchangeTests.this.now = SuspectExchangeTests.this.now.plusSeconds(5);
 		}
--- a/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectSystemTests.java
+++ b/banyancove-core/src/test/java/org/banyancove/core/suspect/SuspectSystemTests.java
@@ -40,20 +40,20 @@
 		run("1", POISON, "e1");
 		run("2", HARMLESS, "e1");
 		crash(this.system, "e1");
-		assertThat(this.system.mayStart(POISON)).isEqualTo(new SuspectDecision.RunApart(ids("e1")));
+		assertThat(this.system.decide(POISON)).isEqualTo(new SuspectDecision.RunIsolated(ids("e1")));
 		run("1", POISON, "e2");
-		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.RunApart(ids("e1", "e2")));
+		assertThat(this.system.decide(HARMLESS)).isEqualTo(new SuspectDecision.RunIsolated(ids("e1", "e2")));
 		run("2", HARMLESS, "e3");
 		crash(this.system, "e2");
-		assertThat(this.system.mayStart(POISON)).isInstanceOf(SuspectDecision.Wait.class);
+		assertThat(this.system.decide(POISON)).isInstanceOf(SuspectDecision.Wait.class);
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
-		this.system.ended(new RequestId("2"), new EndpointId("e3"), true);
-		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.decide(POISON)).isEqualTo(REFUSED);
+		this.system.attemptEnded(new RequestId("2"), new EndpointId("e3"), true);
+		assertThat(this.system.decide(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 		this.peer.merge(this.system.records());
 		this.peer.merge(this.system.records());
-		assertThat(this.peer.mayStart(POISON)).isEqualTo(REFUSED);
-		assertThat(this.peer.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.peer.decide(POISON)).isEqualTo(REFUSED);
+		assertThat(this.peer.decide(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
 	// The caller sends the request through two entries, and it crashes one endpoint
@@ -61,13 +61,13 @@
 	// contain both.
 	@Test
 	void crashesReportedByTwoEntriesAreCombined() {
-		this.system.started(new RequestId("1"), POISON, new EndpointId("e1"));
+		this.system.attemptStarted(new RequestId("1"), POISON, new EndpointId("e1"));
 		crash(this.system, "e1");
-		this.peer.started(new RequestId("2"), POISON, new EndpointId("e2"));
+		this.peer.attemptStarted(new RequestId("2"), POISON, new EndpointId("e2"));
 		crash(this.peer, "e2");
 		this.system.merge(this.peer.records());
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
+		assertThat(this.system.decide(POISON)).isEqualTo(REFUSED);
 	}
 
 	// Two entries each run one suspect at the same endpoint, unaware of each other,
@@ -82,17 +82,17 @@
 		crash(this.system, "e1");
 		this.peer.merge(this.system.records());
 		run("2", HARMLESS, "e2");
-		this.peer.started(new RequestId("3"), POISON, new EndpointId("e2"));
+		this.peer.attemptStarted(new RequestId("3"), POISON, new EndpointId("e2"));
 		crash(this.system, "e2");
 		crash(this.peer, "e2");
 		this.system.merge(this.peer.records());
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(HARMLESS)).isInstanceOf(SuspectDecision.RunApart.class);
+		assertThat(this.system.decide(HARMLESS)).isInstanceOf(SuspectDecision.RunIsolated.class);
 		run("1", POISON, "e3");
 		crash(this.system, "e3");
 		this.now = this.now.plusSeconds(1);
-		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
-		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.decide(POISON)).isEqualTo(REFUSED);
+		assertThat(this.system.decide(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
 	// A wave affects a zone: two VMs have a notice, a third is lost before its own notice
@@ -103,14 +103,14 @@
 		run("1", HARMLESS, "e1");
 		run("2", OTHER_HARMLESS, "e4");
 		crash(this.system, "e1");
-		assertThat(this.system.mayStart(HARMLESS)).isInstanceOf(SuspectDecision.RunApart.class);
-		this.system.noticeSeen(new VmId("vm-e2"), new ZoneName("z"));
-		this.system.noticeSeen(new VmId("vm-e3"), new ZoneName("z"));
-		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.decide(HARMLESS)).isInstanceOf(SuspectDecision.RunIsolated.class);
+		this.system.reclaimNoticeReceived(new VmId("vm-e2"), new ZoneName("z"));
+		this.system.reclaimNoticeReceived(new VmId("vm-e3"), new ZoneName("z"));
+		assertThat(this.system.decide(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 		assertThat(lose(this.system, "e4")).isEqualTo(LossCause.WAVE);
 		assertThat(lose(this.system, "e2")).isEqualTo(LossCause.RECLAIM);
-		assertThat(this.system.mayStart(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
-		assertThat(this.system.mayStart(OTHER_HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.decide(HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
+		assertThat(this.system.decide(OTHER_HARMLESS)).isEqualTo(new SuspectDecision.NotSuspect());
 	}
 
 	// A caller sends a request that crashes endpoints during a wave, and each loss is
@@ -118,15 +118,15 @@
 	// and is refused after four, rather than crashing endpoints until the wave ends.
 	@Test
 	void requestThatCrashesEndpointsIsRefusedDuringWave() {
-		this.system.noticeSeen(new VmId("vm-n1"), new ZoneName("z"));
-		this.system.noticeSeen(new VmId("vm-n2"), new ZoneName("z"));
+		this.system.reclaimNoticeReceived(new VmId("vm-n1"), new ZoneName("z"));
+		this.system.reclaimNoticeReceived(new VmId("vm-n2"), new ZoneName("z"));
 		for (int i = 1; i <= 4; i++) {
-			assertThat(this.system.mayStart(POISON)).isNotEqualTo(REFUSED);
+			assertThat(this.system.decide(POISON)).isNotEqualTo(REFUSED);
 			run("g" + i, POISON, "e" + i);
 			assertThat(lose(this.system, "e" + i)).isEqualTo(LossCause.WAVE);
 			this.now = this.now.plusSeconds(3);
 		}
-		assertThat(this.system.mayStart(POISON)).isEqualTo(REFUSED);
+		assertThat(this.system.decide(POISON)).isEqualTo(REFUSED);
 	}
 
 	// A rack fails without any notice: three VMs at once, each with different
@@ -141,7 +141,7 @@
 		lose(this.system, "e1", "zone-e");
 		lose(this.system, "e2", "zone-e");
 		assertThat(lose(this.system, "e3", "zone-e")).isEqualTo(LossCause.WAVE);
-		assertThat(this.system.mayStart(Fingerprint.of(new AccountName("a"), new byte[] { 11 })))
+		assertThat(this.system.decide(Fingerprint.of(new AccountName("a"), new byte[] { 11 })))
 			.isEqualTo(new SuspectDecision.NotSuspect());
 		lose(this.system, "f1", "zone-f");
 		lose(this.system, "f2", "zone-f");
@@ -153,15 +153,15 @@
 		run("1", POISON, "e1");
 		crash(this.system, "e1");
 		run("1", POISON, "e2");
-		assertThat(this.system.mayStart(POISON)).isInstanceOf(SuspectDecision.Wait.class);
-		this.system.ended(new RequestId("1"), new EndpointId("e2"), false);
+		assertThat(this.system.decide(POISON)).isInstanceOf(SuspectDecision.Wait.class);
+		this.system.attemptEnded(new RequestId("1"), new EndpointId("e2"), false);
 		this.now = this.now.plus(Duration.ofMinutes(31));
 		this.system.tick();
 		assertThat(this.system.size()).isZero();
 	}
 
 	private void run(String request, Fingerprint fingerprint, String endpoint) {
-		this.system.started(new RequestId(request), fingerprint, new EndpointId(endpoint));
+		this.system.attemptStarted(new RequestId(request), fingerprint, new EndpointId(endpoint));
 	}
 
 	private void crash(SuspectSystem at, String endpoint) {
--- a/banyancove-distribution/src/test/java/org/banyancove/distribution/LeaseStreamTests.java
+++ b/banyancove-distribution/src/test/java/org/banyancove/distribution/LeaseStreamTests.java
@@ -21,7 +21,7 @@
 import org.banyancove.platform.PlatformConnection;
 import org.banyancove.platform.lease.LeaseRecordCodec;
 import org.banyancove.platform.lease.LeaseStream;
-import org.banyancove.platform.lease.ReadLeaseRecord;
+import org.banyancove.platform.lease.LoggedLeaseRecord;
 import org.banyancove.standins.platform.PlatformOptions;
 import org.banyancove.standins.platform.PlatformStandin;
 import org.junit.jupiter.api.Test;
@@ -55,10 +55,10 @@
 				ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor()) {
 			LogClient log = new LogClient(connection);
 			append(log, 0, OLD_RECORDS);
-			now.set(now.get().plus(LeaseRecord.LONGEST).plusSeconds(1));
+			now.set(now.get().plus(LeaseRecord.MAXIMUM_DURATION).plusSeconds(1));
 			append(log, OLD_RECORDS, NEW_RECORDS);
-			List<ReadLeaseRecord> read = new CopyOnWriteArrayList<>();
-			new LeaseStream(log).follow(Duration.ofMillis(100), timer, read::addAll);
+			List<LoggedLeaseRecord> read = new CopyOnWriteArrayList<>();
+			new LeaseStream(log).subscribe(Duration.ofMillis(100), timer, read::addAll);
 			Await.until("the end is read",
 					() -> !read.isEmpty() && read.getLast().offset() == OLD_RECORDS + NEW_RECORDS - 1);
 			assertThat(read.getFirst().offset()).isBetween(1L, (long) OLD_RECORDS);
@@ -77,8 +77,9 @@
 		List<NewRecord> records = new ArrayList<>();
 		for (int number = from; number < from + count; number++) {
 			RecordId id = RecordId.of(HOLDER, number);
-			records.add(codec.newRecord((number == 0) ? new LeaseRecord.Acquired(id, NORTH, HOLDER, LeaseRecord.LONGEST)
-					: new LeaseRecord.Renewed(id, NORTH, HOLDER, 0, LeaseRecord.LONGEST)));
+			records.add(codec
+				.newRecord((number == 0) ? new LeaseRecord.Acquired(id, NORTH, HOLDER, LeaseRecord.MAXIMUM_DURATION)
+						: new LeaseRecord.Renewed(id, NORTH, HOLDER, 0, LeaseRecord.MAXIMUM_DURATION)));
 		}
 		log.append(LeaseRecord.STREAM_NAME, records).join();
 	}
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryDaemon.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryDaemon.java
@@ -146,7 +146,7 @@
 		this.loop = new EntryLoop(this.core, eventClock, this.trace);
 		new EntryMetrics(this.core, this.loop, this.callers).register(registry);
 		MetricsText metrics = new MetricsText(registry);
-		StatusPages pages = new StatusPages(() -> this.loop.read(this.core::ready), metrics::text, this::status);
+		StatusPages pages = new StatusPages(() -> this.loop.read(this.core::isReady), metrics::text, this::status);
 		this.server = new CallerServer(serverSettings(settings), this.callers, events, this::nextRequestId, pages);
 	}
 
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryLoop.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryLoop.java
@@ -89,12 +89,12 @@
 
 		@Override
 		public void invariantViolated() {
-			this.core.invariantViolated();
+			this.core.countInvariantViolation();
 		}
 
 		@Override
 		public void eventFailed() {
-			this.core.eventFailed();
+			this.core.countFailedEvent();
 		}
 
 	}
--- a/banyancove-entry/src/main/java/org/banyancove/entry/EntryMetrics.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/EntryMetrics.java
@@ -28,12 +28,14 @@
 	}
 
 	void register(PrometheusRegistry registry) {
-		counter(registry, "banyancove_requests_total", "Requests that arrived", (core) -> core.counters().arrived());
-		counter(registry, "banyancove_answers_total", "Requests answered whole", (core) -> core.counters().answered());
+		counter(registry, "banyancove_requests_total", "Requests that arrived",
+				(core) -> core.counters().receivedRequests());
+		counter(registry, "banyancove_answers_total", "Requests answered whole",
+				(core) -> core.counters().answeredRequests());
 		counter(registry, "banyancove_attempts_total", "Attempts at endpoints", (core) -> core.counters().attempts());
 		counter(registry, "banyancove_retries_total", "Attempts after the first", (core) -> core.counters().retries());
 		counter(registry, "banyancove_streams_moved_total", "Streams moved to another engine",
-				(core) -> core.streamCounters().continued());
+				(core) -> core.streamCounters().continuations());
 		counter(registry, "banyancove_streams_reattached_total", "Streams resumed over a new connection",
 				(core) -> core.streamCounters().moves(StreamMove.REATTACHED));
 		counter(registry, "banyancove_recomputed_tokens_total", "Tokens that engines computed again",
@@ -44,7 +46,7 @@
 				EntryCore::invariantViolations);
 		counter(registry, "banyancove_failed_events_total", "Events whose handling failed", EntryCore::failedEvents);
 		failures(registry);
-		gauge(registry, "banyancove_requests_running", "Requests in flight", EntryCore::running);
+		gauge(registry, "banyancove_requests_running", "Requests in flight", EntryCore::runningRequests);
 		gauge(registry, "banyancove_endpoints", "Endpoints known", (core) -> core.endpoints().all().size());
 		GaugeWithCallback.builder()
 			.name("banyancove_callers_waiting")
--- a/banyancove-entry/src/main/java/org/banyancove/entry/StatusDocument.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/StatusDocument.java
@@ -30,8 +30,8 @@
 		root.put("entry", this.identity.incarnation().toString());
 		root.put("dataCenter", this.identity.dataCenter().value());
 		root.put("zone", this.identity.zone().value());
-		root.put("ready", this.core.ready());
-		root.put("running", this.core.running());
+		root.put("ready", this.core.isReady());
+		root.put("running", this.core.runningRequests());
 		counters(root.putObject("counters"));
 		ArrayNode endpoints = root.putArray("endpoints");
 		this.core.endpoints().all().forEach((endpoint) -> endpoint(endpoints.addObject(), endpoint));
@@ -40,11 +40,11 @@
 
 	private void counters(ObjectNode node) {
 		EntryCounters counters = this.core.counters();
-		node.put("arrived", counters.arrived());
-		node.put("answered", counters.answered());
+		node.put("arrived", counters.receivedRequests());
+		node.put("answered", counters.answeredRequests());
 		node.put("attempts", counters.attempts());
 		node.put("retries", counters.retries());
-		node.put("movedStreams", this.core.streamCounters().continued());
+		node.put("movedStreams", this.core.streamCounters().continuations());
 		node.put("recomputedTokens", counters.recomputedTokens());
 		node.put("invariantViolations", this.core.invariantViolations());
 		ObjectNode failures = node.putObject("failures");
--- a/banyancove-entry/src/main/java/org/banyancove/entry/caller/AnswerWriter.java
+++ b/banyancove-entry/src/main/java/org/banyancove/entry/caller/AnswerWriter.java
@@ -59,18 +59,18 @@
 			switch (connection.next()) {
 				case AnswerPart.Accepted accepted -> {
 				}
-				case AnswerPart.StartedOver startedOver -> text.setLength(0);
+				case AnswerPart.Restarted restarted -> text.setLength(0);
 				case AnswerPart.Text piece -> text.append(piece.text());
 				case AnswerPart.EndOfText end -> {
 					byte[] body = utf8(this.json.completion(this.request, text.toString(), end));
 					write(OK, APPLICATION_JSON, CallExecution.RAN, body);
 					return;
 				}
-				case AnswerPart.Whole whole -> {
-					if (whole.repeated()) {
+				case AnswerPart.PlainResponse response -> {
+					if (response.repeated()) {
 						headers().set(CallerHeaders.REPEATED, "true");
 					}
-					write(whole.status(), whole.contentType(), CallExecution.RAN, whole.body().toByteArray());
+					write(response.status(), response.contentType(), CallExecution.RAN, response.body().toByteArray());
 					return;
 				}
 				case AnswerPart.Failure failure -> {
@@ -97,7 +97,7 @@
 		while (true) {
 			writeEvent(part, output);
 			output.flush();
-			if (part.last()) {
+			if (part.isFinal()) {
 				return;
 			}
 			part = connection.next();
@@ -108,14 +108,14 @@
 		switch (part) {
 			case AnswerPart.Accepted accepted -> {
 			}
-			case AnswerPart.StartedOver startedOver -> output.write(utf8("event: restart\ndata: {}\n\n"));
+			case AnswerPart.Restarted restarted -> output.write(utf8("event: restart\ndata: {}\n\n"));
 			case AnswerPart.Text text -> output
 				.write(utf8("id: " + text.toOffset() + "\ndata: " + this.json.chunk(this.request, text) + "\n\n"));
 			case AnswerPart.EndOfText end ->
 				output.write(utf8("data: " + this.json.lastChunk(this.request, end) + "\n\ndata: [DONE]\n\n"));
 			case AnswerPart.Failure failure ->
 				output.write(utf8("event: error\ndata: " + this.json.failure(this.request, failure) + "\n\n"));
-			case AnswerPart.Whole whole -> writeEvent(
+			case AnswerPart.PlainResponse response -> writeEvent(
 					new AnswerPart.Failure(ErrorKind.INTERNAL, "a plain answer to a model request", null), output);
 		}
 	}
--- a/banyancove-entry/src/test/java/org/banyancove/entry/TraceReplayTests.java
+++ b/banyancove-entry/src/test/java/org/banyancove/entry/TraceReplayTests.java
@@ -40,9 +40,9 @@
 	void repeatedCallReturnsTheStoredAnswer() throws Exception {
 		Replay replay = Replay.of("booking");
 		replay.assertOneCompletePlan();
-		List<AnswerPart.Whole> answers = replay.parts(AnswerPart.Whole.class).toList();
-		assertThat(answers).extracting(AnswerPart.Whole::repeated).containsExactly(false, true);
-		assertThat(answers).extracting(AnswerPart.Whole::body).containsOnly(answers.getFirst().body());
+		List<AnswerPart.PlainResponse> answers = replay.parts(AnswerPart.PlainResponse.class).toList();
+		assertThat(answers).extracting(AnswerPart.PlainResponse::repeated).containsExactly(false, true);
+		assertThat(answers).extracting(AnswerPart.PlainResponse::body).containsOnly(answers.getFirst().body());
 		assertThat(replay.attempts(AttemptRequest.PlainCall.class)).isEqualTo(1);
 	}
 
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEntry.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SimulatedEntry.java
@@ -20,8 +20,8 @@
 import org.banyancove.core.admission.AdmissionSystem;
 import org.banyancove.core.profile.Profile;
 import org.banyancove.core.retry.RetryDecision;
+import org.banyancove.core.retry.RetryPolicy;
 import org.banyancove.core.retry.RetryRequest;
-import org.banyancove.core.retry.RetryRule;
 import org.banyancove.core.routing.AttemptOutcome;
 import org.banyancove.core.routing.EndpointDefinition;
 import org.banyancove.core.routing.EndpointTable;
@@ -59,7 +59,7 @@
 
 	private final AdmissionSystem admission;
 
-	private final RetryRule retries;
+	private final RetryPolicy retries;
 
 	private final Map<RequestId, RequestState> requests = new LinkedHashMap<>();
 
@@ -78,7 +78,7 @@
 		this.random = random;
 		this.placement = new PlacementSystem(this.table, events, random, settings.user().placementSettings());
 		this.admission = new AdmissionSystem(this.table, events);
-		this.retries = new RetryRule(events);
+		this.retries = new RetryPolicy(events);
 	}
 
 	/**
@@ -323,7 +323,7 @@
 			if (Double.isNaN(this.state.firstTokenAt)) {
 				this.state.firstTokenAt = now;
 			}
-			SimulatedEntry.this.table.firstTokenSeen(this.state.endpoint(), job.request(),
+			SimulatedEntry.this.table.firstTokenReceived(this.state.endpoint(), job.request(),
 					SimulatedEntry.this.events.instant());
 			if (this.state.arrival.isModel()) {
 				countComputed(this.state, computedTokens, job.promptTokens());
@@ -340,7 +340,7 @@
 			EndpointId endpoint = this.state.endpoint();
 			this.state.job = null;
 			if (job.outputTokens() > 0) {
-				SimulatedEntry.this.table.tokensSeen(endpoint, job.request(), job.outputTokens(), now);
+				SimulatedEntry.this.table.tokensReceived(endpoint, job.request(), job.outputTokens(), now);
 			}
 			SimulatedEntry.this.table.attemptEnded(endpoint, job.request(), AttemptOutcome.COMPLETED, now);
 			SimulatedEntry.this.metrics.recordCompleted(this.state.arrival, this.state.profile, this.state.firstTokenAt,
--- a/banyancove-experiment/src/main/java/org/banyancove/experiment/SlopeMeasurement.java
+++ b/banyancove-experiment/src/main/java/org/banyancove/experiment/SlopeMeasurement.java
@@ -81,7 +81,8 @@
 		long initialBytes = usedBytes();
 		EndpointTable table = new EndpointTable(region(), 0);
 		PlacementSystem placement = new PlacementSystem(table, () -> this.now, this.random);
-		table.listed(IntStream.range(0, this.endpointCount).mapToObj(SlopeMeasurement::definition).toList(), this.now);
+		table.applyList(IntStream.range(0, this.endpointCount).mapToObj(SlopeMeasurement::definition).toList(),
+				this.now);
 		long bytesWithEndpoints = usedBytes();
 		Deque<SentAttempt> inFlight = new ArrayDeque<>();
 		int targetInFlight = table.all().size() * IN_FLIGHT_PER_ENDPOINT;
@@ -132,9 +133,9 @@
 
 	private void end(EndpointTable table, SentAttempt attempt) {
 		Instant firstToken = attempt.at().plusMillis(100 + this.random.nextInt(100));
-		table.firstTokenSeen(attempt.endpoint(), attempt.request(), firstToken);
+		table.firstTokenReceived(attempt.endpoint(), attempt.request(), firstToken);
 		Instant last = firstToken.plusMillis(1000 + this.random.nextInt(500));
-		table.tokensSeen(attempt.endpoint(), attempt.request(), 50, last);
+		table.tokensReceived(attempt.endpoint(), attempt.request(), 50, last);
 		table.attemptEnded(attempt.endpoint(), attempt.request(), AttemptOutcome.COMPLETED, last);
 	}
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/Exchange.java
@@ -420,7 +420,7 @@
 
 	private void responseTimedOut() {
 		Attempt current = this.currentAttempt;
-		if (this.ended || current == null || this.dispatcher.retryBudget(this.service.name()).left() < 1) {
+		if (this.ended || current == null || this.dispatcher.retryBudget(this.service.name()).available() < 1) {
 			return;
 		}
 		current.cancel();
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestDispatcher.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RequestDispatcher.java
@@ -165,7 +165,7 @@
 		this.gatewayCount = newGatewayCount;
 		this.reachableShare = newReachableShare;
 		this.quotaLimiters.values().forEach((limiter) -> limiter.setReachableShare(newReachableShare));
-		this.retryBudgets.values().forEach((retryBudget) -> retryBudget.changeMostSaved(maximumSavedRetries()));
+		this.retryBudgets.values().forEach((retryBudget) -> retryBudget.changeMaximumAvailable(maximumSavedRetries()));
 	}
 
 	/**
--- a/banyancove-operate/src/main/java/org/banyancove/operate/ProfilePublisher.java
+++ b/banyancove-operate/src/main/java/org/banyancove/operate/ProfilePublisher.java
@@ -107,7 +107,7 @@
 		ProfilePage page;
 		do {
 			page = this.stream.read(this.view.nextOffset(), Duration.ZERO).join();
-			this.view.read(page);
+			this.view.apply(page);
 		}
 		while (this.view.nextOffset() < page.endOffset());
 	}
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerDaemon.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerDaemon.java
@@ -34,7 +34,7 @@
 import org.banyancove.platform.VmListClient;
 import org.banyancove.platform.VmPrice;
 import org.banyancove.platform.lease.LeaseStream;
-import org.banyancove.platform.lease.ReadLeaseRecord;
+import org.banyancove.platform.lease.LoggedLeaseRecord;
 import org.banyancove.program.MetricsText;
 import org.banyancove.program.SocketAddressText;
 import org.banyancove.program.StatusPages;
@@ -128,9 +128,9 @@
 	 * a planner that starts late does not request a lease that another planner holds.
 	 */
 	void start() {
-		this.loop
-			.post(() -> this.system.want(this.settings.capacity().target(), this.settings.engines().desiredState()));
-		this.leases.follow(this.settings.platform().readWait(), this.timer, this::applyLeaseRecords);
+		this.loop.post(() -> this.system.setDesiredState(this.settings.capacity().target(),
+				this.settings.engines().desiredState()));
+		this.leases.subscribe(this.settings.platform().readWait(), this.timer, this::applyLeaseRecords);
 		this.addresses.start(this.settings.pace().listInterval(), this.timer);
 		readPrices();
 		this.loop.start(TICK_INTERVAL, this::tick);
@@ -168,7 +168,7 @@
 
 	@Override
 	public void vmsListed(long request, List<CloudVm> vms) {
-		this.loop.post(() -> this.system.listed(request, vms));
+		this.loop.post(() -> this.system.applyList(request, vms));
 	}
 
 	@Override
@@ -187,9 +187,10 @@
 		}
 	}
 
-	private void applyLeaseRecords(List<ReadLeaseRecord> records) {
+	private void applyLeaseRecords(List<LoggedLeaseRecord> records) {
 		this.loop.post(() -> {
-			records.forEach((record) -> this.system.leaseRead(record.offset(), record.record(), record.appendedAt()));
+			records.forEach(
+					(record) -> this.system.applyLeaseRecord(record.offset(), record.record(), record.appendedAt()));
 			this.leasesRead = true;
 		});
 	}
@@ -205,7 +206,7 @@
 			}
 			else {
 				List<Offer> offers = offers(prices);
-				this.loop.post(() -> this.system.offered(offers));
+				this.loop.post(() -> this.system.setOffers(offers));
 				this.pricesRead = true;
 				delay = this.settings.platform().priceInterval();
 			}
--- a/banyancove-planner/src/main/java/org/banyancove/planner/PlannerMetrics.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/PlannerMetrics.java
@@ -38,7 +38,7 @@
 		gauge(registry, "banyancove_planner_price_per_hour", "What the running VMs cost an hour",
 				PlannerSystem::pricePerHour);
 		gauge(registry, "banyancove_planner_engines_as_wanted", "Engines last read to hold what they should",
-				PlannerSystem::enginesAsWanted);
+				PlannerSystem::enginesInDesiredState);
 		GaugeWithCallback.builder()
 			.name("banyancove_planner_vms")
 			.help("Bought VMs that run, as last listed")
--- a/banyancove-planner/src/main/java/org/banyancove/planner/StatusDocument.java
+++ b/banyancove-planner/src/main/java/org/banyancove/planner/StatusDocument.java
@@ -30,7 +30,7 @@
 	static StatusDocument of(Incarnation self, String dataCenter, PlannerSystem system) {
 		OptionalLong fence = system.fence();
 		return new StatusDocument(self.toString(), dataCenter, fence.isPresent() ? fence.getAsLong() : null,
-				system.surviving(), system.pricePerHour(), system.enginesAsWanted(),
+				system.surviving(), system.pricePerHour(), system.enginesInDesiredState(),
 				system.running().entrySet().stream().map(Vms::of).toList());
 	}
 
--- a/banyancove-platform/src/main/java/org/banyancove/platform/lease/LeaseStream.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/lease/LeaseStream.java
@@ -47,15 +47,15 @@
 
 	/**
 	 * Reads the stream continuously. If the log retains more, reading starts
-	 * {@link LeaseRecord#LONGEST} before the newest record: each lease that was valid at
-	 * that time has a later record, and a starting planner reads some thousand records
-	 * instead of a million of a week.
+	 * {@link LeaseRecord#MAXIMUM_DURATION} before the newest record: each lease that was
+	 * valid at that time has a later record, and a starting planner reads some thousand
+	 * records instead of a million of a week.
 	 * @param wait the maximum time that a read waits at the log for new records
 	 * @param timer schedules retries; reading stops when it is shut down
 	 * @param records receives the records of each page, in order, on one thread at a
 	 * time; a page may be empty
 	 */
-	public void follow(Duration wait, ScheduledExecutorService timer, Consumer<List<ReadLeaseRecord>> records) {
+	public void subscribe(Duration wait, ScheduledExecutorService timer, Consumer<List<LoggedLeaseRecord>> records) {
 		StreamReader reader = new StreamReader(this.log, LeaseRecord.STREAM_NAME, wait, timer,
 				(page) -> records.accept(decode(page)), (failure) -> {
 				});
@@ -64,7 +64,7 @@
 				reader.start(from);
 			}
 			else if (!timer.isShutdown()) {
-				timer.schedule(() -> follow(wait, timer, records), RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
+				timer.schedule(() -> subscribe(wait, timer, records), RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
 			}
 		});
 	}
@@ -75,7 +75,7 @@
 				return CompletableFuture.completedFuture(first.firstRetained());
 			}
 			return read(first.endOffset() - 1).thenCompose((newest) -> {
-				Instant startTime = newest.records().getLast().appendedAt().minus(LeaseRecord.LONGEST);
+				Instant startTime = newest.records().getLast().appendedAt().minus(LeaseRecord.MAXIMUM_DURATION);
 				return searchBackwards(first.endOffset(), INITIAL_STEP_RECORDS, startTime);
 			});
 		});
@@ -95,13 +95,13 @@
 		return this.log.read(LeaseRecord.STREAM_NAME, from, 1, Duration.ZERO);
 	}
 
-	private List<ReadLeaseRecord> decode(LogPage page) {
+	private List<LoggedLeaseRecord> decode(LogPage page) {
 		return page.records().stream().flatMap((record) -> decode(record).stream()).toList();
 	}
 
-	private List<ReadLeaseRecord> decode(LogRecord log) {
+	private List<LoggedLeaseRecord> decode(LogRecord log) {
 		LeaseRecord record = this.codec.decode(log.data());
-		return (record != null) ? List.of(new ReadLeaseRecord(log.offset(), record, log.appendedAt())) : List.of();
+		return (record != null) ? List.of(new LoggedLeaseRecord(log.offset(), record, log.appendedAt())) : List.of();
 	}
 
 }
--- a/banyancove-platform/src/main/java/org/banyancove/platform/lease/ReadLeaseRecord.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/lease/LoggedLeaseRecord.java
@@ -12,6 +12,6 @@
  * @param record the record
  * @param appendedAt the log's time of the append
  */
-public record ReadLeaseRecord(long offset, LeaseRecord record, Instant appendedAt) {
+public record LoggedLeaseRecord(long offset, LeaseRecord record, Instant appendedAt) {
 
 }
--- a/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileRecordCodec.java
+++ b/banyancove-platform/src/main/java/org/banyancove/platform/profile/ProfileRecordCodec.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import org.banyancove.core.ServiceName;
-import org.banyancove.core.entry.ProfileEntryText;
+import org.banyancove.core.entry.ProfileTextCodec;
 import org.banyancove.core.profile.ProfileEntry;
 import org.banyancove.core.profile.ProfilePage;
 import org.banyancove.core.profile.ProfileRecord;
@@ -28,7 +28,7 @@
  * keeps its offset and has no effect, so that neither a record of a newer version nor a
  * record without its profile stops the fold of a reader. Unknown fields are ignored.
  */
-public final class ProfileRecordCodec implements ProfileEntryText {
+public final class ProfileRecordCodec implements ProfileTextCodec {
 
 	private static final Logger logger = LoggerFactory.getLogger(ProfileRecordCodec.class);
 
--- a/banyancove-transport/src/test/java/org/banyancove/transport/ControlCostTests.java
+++ b/banyancove-transport/src/test/java/org/banyancove/transport/ControlCostTests.java
@@ -182,7 +182,7 @@
 		}
 
 		@Override
-		public List<EndpointLoad> takeSent() {
+		public List<EndpointLoad> drainSentLoads() {
 			return IntStream.range(0, ControlCostTests.this.loads)
 				.mapToObj((number) -> new EndpointLoad(new EndpointId("engine-" + number), 3, 4_000))
 				.toList();
