--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/AnswerWriter.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/AnswerWriter.java
@@ -11,12 +11,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes one generation to one connection in the chat form, whole or as events, with the
- * faults that are switched on.
+ * Writes a generation to a connection as a response of the chat API, unstreamed or as
+ * events, and injects the enabled faults.
  */
 final class AnswerWriter {
 
-	private static final String FINISHED = "length";
+	private static final String FINISH_REASON = "length";
 
 	private final Exchange exchange;
 
@@ -34,7 +34,7 @@
 
 	private final long afterTokens;
 
-	private @Nullable Event held;
+	private @Nullable Event delayedEvent;
 
 	AnswerWriter(Exchange exchange, Generation generation, FaultSwitches<EngineFault> faults) {
 		this.exchange = exchange;
@@ -47,15 +47,15 @@
 		this.afterTokens = faults.number(EngineFault.AFTER_TOKENS);
 	}
 
-	void writeWhole() throws IOException, InterruptedException {
+	void writeUnstreamed() throws IOException, InterruptedException {
 		int last = this.generation.endOffset() - 1;
 		if (last >= this.generation.firstOffset() && !this.generation.await(last)) {
 			this.exchange.sendError(409, "Cancelled");
 			return;
 		}
-		fault();
+		injectFault();
 		String text = this.generation.text().text(this.generation.firstOffset(), this.generation.endOffset());
-		Choice choice = new Choice(0, null, new Content("assistant", text), FINISHED);
+		Choice choice = new Choice(0, null, new Content("assistant", text), FINISH_REASON);
 		this.exchange.send(200, "application/json",
 				Json.CHAT_MAPPER.writeValueAsBytes(answer("chat.completion", choice, this.generation.usage())));
 	}
@@ -63,7 +63,7 @@
 	void writeEvents(int from) throws IOException, InterruptedException {
 		int offset = from;
 		while (this.generation.await(offset)) {
-			if (offset - from >= this.afterTokens && fault()) {
+			if (offset - from >= this.afterTokens && injectFault()) {
 				this.exchange.endEvents();
 				return;
 			}
@@ -71,43 +71,43 @@
 			offset++;
 			write(new Event(offset, Json.writeChat(answer("chat.completion.chunk", choice, null))));
 		}
-		flushHeld();
+		flushDelayedEvent();
 		if (!this.generation.isComplete()) {
 			throw new ConnectionDropException("Cancelled");
 		}
-		if (fault()) {
+		if (injectFault()) {
 			this.exchange.endEvents();
 			return;
 		}
-		Choice last = new Choice(0, new Content(null, ""), null, FINISHED);
+		Choice last = new Choice(0, new Content(null, ""), null, FINISH_REASON);
 		this.exchange.sendEvent(Integer.toString(offset),
 				Json.writeChat(answer("chat.completion.chunk", last, this.generation.usage())));
 		this.exchange.sendEvent(null, "[DONE]");
 		this.exchange.endEvents();
 	}
 
-	private boolean fault() throws IOException {
+	private boolean injectFault() throws IOException {
 		if (this.stall) {
 			this.exchange.hangUntilStopped();
 		}
 		if (this.cut) {
-			throw new ConnectionDropException("Switched to cut the stream");
+			throw new ConnectionDropException("Fault CUT_STREAMS: connection closed within the stream");
 		}
 		return this.truncate;
 	}
 
 	private void write(Event event) throws IOException {
-		if (this.reorder && this.held == null) {
-			this.held = event;
+		if (this.reorder && this.delayedEvent == null) {
+			this.delayedEvent = event;
 			return;
 		}
 		send(event);
-		flushHeld();
+		flushDelayedEvent();
 	}
 
-	private void flushHeld() throws IOException {
-		Event event = this.held;
-		this.held = null;
+	private void flushDelayedEvent() throws IOException {
+		Event event = this.delayedEvent;
+		this.delayedEvent = null;
 		if (event != null) {
 			send(event);
 		}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/Batch.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/Batch.java
@@ -5,8 +5,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The slots of the continuous batch: a bounded number of generations run, the rest queue
- * by priority and arrival. Safe for many threads.
+ * Slots of the continuous batch. A bounded number of generations run; the others wait in
+ * order of priority and arrival. This class is thread-safe.
  */
 final class Batch {
 
@@ -22,7 +22,7 @@
 		this.slots = slots;
 	}
 
-	synchronized void enter(int priority) throws InterruptedException {
+	synchronized void acquireSlot(int priority) throws InterruptedException {
 		this.arrivals++;
 		Ticket ticket = new Ticket(priority, this.arrivals);
 		this.queue.add(ticket);
@@ -38,7 +38,7 @@
 		}
 	}
 
-	synchronized void leave() {
+	synchronized void releaseSlot() {
 		this.running--;
 		notifyAll();
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/CacheEvents.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/CacheEvents.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /**
- * The prefix cache's events as others see them: late, and with every tenth missing. Safe
- * for many threads.
+ * Published events of the prefix cache: delayed, and with every tenth event lost. This
+ * class is thread-safe.
  */
 final class CacheEvents {
 
-	private static final int GAP_EVERY = 10;
+	private static final int LOSS_INTERVAL = 10;
 
-	private static final int KEPT = 10_000;
+	private static final int MAXIMUM_RETAINED_EVENTS = 10_000;
 
 	private final Duration lag;
 
@@ -32,11 +32,11 @@
 
 	synchronized void add(String kind, String prefix, int tokens) {
 		this.sequence++;
-		if (this.sequence % GAP_EVERY == 0) {
+		if (this.sequence % LOSS_INTERVAL == 0) {
 			return;
 		}
 		this.events.addLast(new TimedEvent(this.clock.instant(), new CacheEvent(this.sequence, kind, prefix, tokens)));
-		if (this.events.size() > KEPT) {
+		if (this.events.size() > MAXIMUM_RETAINED_EVENTS) {
 			this.events.removeFirst();
 		}
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/ChatRequest.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/ChatRequest.java
@@ -7,13 +7,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A chat completion as callers send it.
+ * A chat completion request.
  *
  * @param model the model
  * @param messages the messages
- * @param maxTokens how many tokens to generate, or {@code null} for the engine's default
- * @param stream whether to answer by events
- * @param resume the answer to continue, or {@code null}
+ * @param maxTokens the number of tokens to generate, or {@code null} for the engine's
+ * default
+ * @param stream whether to stream the response as events
+ * @param resume the response to continue, or {@code null}
  */
 public record ChatRequest(String model, List<Message> messages, @Nullable Integer maxTokens, boolean stream,
 		@Nullable Resume resume) {
@@ -33,7 +34,7 @@
 	}
 
 	/**
-	 * Returns the words of all messages: the prompt's tokens.
+	 * Returns the words of all messages, which are the prompt's tokens.
 	 * @return the words
 	 */
 	List<String> promptWords() {
@@ -42,19 +43,19 @@
 	}
 
 	/**
-	 * One message.
+	 * A chat message.
 	 *
-	 * @param role who said it
-	 * @param content what was said
+	 * @param role the author's role
+	 * @param content the text
 	 */
 	public record Message(String role, String content) {
 	}
 
 	/**
-	 * An answer that another engine began.
+	 * A partial response of another engine.
 	 *
-	 * @param offset how many tokens it has
-	 * @param text their text
+	 * @param offset the number of generated tokens
+	 * @param text the text of these tokens
 	 */
 	public record Resume(int offset, String text) {
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineFault.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineFault.java
@@ -1,19 +1,18 @@
 package org.banyancove.standins.engine;
 
 /**
- * The ways in which an engine misbehaves on command. Counted switches take a number of
- * requests, or {@code true} for all.
+ * Faults that can be injected into an engine. A counted switch is set to a number of
+ * requests, or to {@code true} for all requests.
  */
 public enum EngineFault {
 
 	/**
-	 * A word: the engine crashes when it begins to run a prompt that contains it.
+	 * A word. The engine crashes when it starts to run a prompt that contains it.
 	 */
 	CRASH_ON_WORD,
 
 	/**
-	 * Counted: a stream stops being written after {@link #AFTER_TOKENS}, its connection
-	 * stays open.
+	 * Counted: a stream stalls after {@link #AFTER_TOKENS}, with its connection open.
 	 */
 	STALL_STREAMS,
 
@@ -23,13 +22,13 @@
 	CUT_STREAMS,
 
 	/**
-	 * Counted: a stream's answer ends after {@link #AFTER_TOKENS}, as if it were whole as
-	 * far as HTTP can tell, but without its last events.
+	 * Counted: a stream ends after {@link #AFTER_TOKENS} as a complete HTTP response, but
+	 * without its last events.
 	 */
 	TRUNCATE_STREAMS,
 
 	/**
-	 * How many tokens a stalled, cut or truncated stream has before that.
+	 * The number of tokens that a stream sends before it is stalled, cut or truncated.
 	 */
 	AFTER_TOKENS,
 
@@ -39,27 +38,27 @@
 	REPEAT_PIECES,
 
 	/**
-	 * Counted: a stream swaps each two neighbouring pieces.
+	 * Counted: a stream swaps the two pieces of each consecutive pair.
 	 */
 	REORDER_PIECES,
 
 	/**
-	 * Counted: health is answered with {@code 503}.
+	 * Counted: a health check fails with {@code 503}.
 	 */
 	REFUSE_HEALTH,
 
 	/**
-	 * Counted: a chat's connection is closed after its body was read, without a run.
+	 * Counted: a chat's connection is closed after its body was read, without running it.
 	 */
 	CLOSE_AFTER_BODY,
 
 	/**
-	 * Counted: a chat is refused with {@code 503} and a time to come back.
+	 * Counted: a chat is rejected with {@code 503} and a {@code Retry-After} header.
 	 */
 	REFUSE_CHATS,
 
 	/**
-	 * By how many times generation is slower than the options say.
+	 * The factor by which generation is slower than configured.
 	 */
 	SLOW_FACTOR
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineOptions.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineOptions.java
@@ -12,15 +12,15 @@
  *
  * @param address the address to listen on
  * @param id the endpoint's identifier
- * @param tokensPerSecond the tokens generated a second, shared by the running streams
- * @param prefillTokensPerSecond the prompt tokens computed a second by one stream alone
- * @param slots how many streams run at once
- * @param prefixCacheTokens how many prompt tokens the prefix cache holds
+ * @param tokensPerSecond the generated tokens per second, shared by the running streams
+ * @param prefillTokensPerSecond the computed prompt tokens per second of a single stream
+ * @param slots the maximum number of running streams
+ * @param prefixCacheTokens the capacity of the prefix cache in prompt tokens
  * @param reportLag the lag of load reports and cache events
- * @param checkFence whether orders with an old fencing number are refused
- * @param onCrash what a crash does; {@code null} to stop answering only
+ * @param checkFence whether orders with a stale fencing token are rejected
+ * @param onCrash the action on a crash, or {@code null} to only stop serving
  * @param weightStore the platform whose weight store models are loaded from, or
- * {@code null} to have them at once
+ * {@code null} to load them instantly
  * @param clock the clock
  */
 public record EngineOptions(InetSocketAddress address, String id, double tokensPerSecond, double prefillTokensPerSecond,
@@ -28,7 +28,7 @@
 		@Nullable InetSocketAddress weightStore, InstantSource clock) {
 
 	/**
-	 * Returns options for a fast engine on any free port of the loopback address.
+	 * Returns options for a fast engine on an ephemeral loopback port.
 	 * @return the options
 	 */
 	public static EngineOptions defaults() {
@@ -58,8 +58,8 @@
 
 	/**
 	 * Returns these options with other speeds.
-	 * @param tokens the tokens generated a second
-	 * @param prefillTokens the prompt tokens computed a second
+	 * @param tokens the generated tokens per second
+	 * @param prefillTokens the computed prompt tokens per second
 	 * @return the options
 	 */
 	public EngineOptions withSpeed(double tokens, double prefillTokens) {
@@ -69,8 +69,8 @@
 
 	/**
 	 * Returns these options with other limits.
-	 * @param running how many streams run at once
-	 * @param cacheTokens how many prompt tokens the prefix cache holds
+	 * @param running the maximum number of running streams
+	 * @param cacheTokens the capacity of the prefix cache in prompt tokens
 	 * @return the options
 	 */
 	public EngineOptions withLimits(int running, int cacheTokens) {
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * Returns these options with another lag of reports.
+	 * Returns these options with another report lag.
 	 * @param value the lag
 	 * @return the options
 	 */
@@ -89,8 +89,8 @@
 	}
 
 	/**
-	 * Returns these options with orders' fencing numbers checked or ignored.
-	 * @param value whether orders with an old number are refused
+	 * Returns these options with fencing tokens of orders checked or ignored.
+	 * @param value whether orders with a stale fencing token are rejected
 	 * @return the options
 	 */
 	public EngineOptions withCheckFence(boolean value) {
@@ -99,8 +99,8 @@
 	}
 
 	/**
-	 * Returns these options with another effect of a crash.
-	 * @param value what a crash does
+	 * Returns these options with another crash action.
+	 * @param value the action on a crash
 	 * @return the options
 	 */
 	public EngineOptions withOnCrash(Runnable value) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineStandin.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/EngineStandin.java
@@ -12,12 +12,12 @@
 import org.banyancove.standins.support.LaggingView;
 
 /**
- * A model engine: continuous batching over a token rate of its own, a prefix cache,
- * streams that can be followed again, KV export and import, late reports and orders.
+ * A model engine: continuous batching at a configured token rate, a prefix cache,
+ * reattachable streams, KV cache export and import, delayed load reports, and orders.
  */
 public final class EngineStandin extends AbstractStandin<EngineFault> {
 
-	private static final Duration SHORTEST_SAMPLE = Duration.ofMillis(20);
+	private static final Duration MINIMUM_SAMPLE_PERIOD = Duration.ofMillis(20);
 
 	private final EngineOptions options;
 
@@ -29,7 +29,7 @@
 
 	/**
 	 * Creates the engine and binds its address.
-	 * @param options its options
+	 * @param options the options
 	 */
 	public EngineStandin(EngineOptions options) {
 		super(options.address(), EngineFault.class);
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * Returns how many tokens were computed here that an earlier attempt had computed.
+	 * Returns the number of tokens computed here that an earlier attempt had computed.
 	 * @return the number of tokens
 	 */
 	public long recomputedTokens() {
@@ -62,11 +62,11 @@
 			case "GET /v1/cache-events" ->
 				exchange.send(200, this.runner.cacheEvents().after(exchange.query("after", 0)));
 			case "GET /v1/orders" -> exchange.send(200, this.orders.state());
-			case "POST /v1/orders" -> order(exchange);
+			case "POST /v1/orders" -> applyOrder(exchange);
 			case "GET /health" -> sendHealth(exchange);
 			case "GET /standin/tokens" ->
 				exchange.send(200, new TokenCounts(this.runner.generatedTokens(), this.runner.recomputedTokens()));
-			default -> serveRequest(exchange);
+			default -> serveGeneration(exchange);
 		}
 	}
 
@@ -78,7 +78,7 @@
 		close();
 	}
 
-	private void serveRequest(Exchange exchange) throws IOException, InterruptedException {
+	private void serveGeneration(Exchange exchange) throws IOException, InterruptedException {
 		String requestId = exchange.segment(2);
 		String route = exchange.route().replace("/" + requestId, "");
 		if (route.equals("PUT /v1/kv")) {
@@ -93,7 +93,7 @@
 		}
 		switch (route) {
 			case "GET /v1/streams" ->
-				follow(exchange, generation, Math.toIntExact(exchange.query("from", generation.firstOffset())));
+				attach(exchange, generation, Math.toIntExact(exchange.query("from", generation.firstOffset())));
 			case "DELETE /v1/streams" -> {
 				generation.cancel();
 				exchange.send(204, "application/json", new byte[0]);
@@ -106,7 +106,7 @@
 
 	private void chat(Exchange exchange) throws IOException, InterruptedException {
 		if (faults().tryTrigger(EngineFault.CLOSE_AFTER_BODY)) {
-			throw new ConnectionDropException("Switched to close after the body");
+			throw new ConnectionDropException("Fault CLOSE_AFTER_BODY: connection closed after reading the body");
 		}
 		if (faults().tryTrigger(EngineFault.REFUSE_CHATS)) {
 			exchange.sendError(503, "Switched to refuse", Duration.ofSeconds(1));
@@ -128,11 +128,11 @@
 			writer.writeEvents(generation.firstOffset());
 		}
 		else {
-			writer.writeWhole();
+			writer.writeUnstreamed();
 		}
 	}
 
-	private void follow(Exchange exchange, Generation generation, int from) throws IOException, InterruptedException {
+	private void attach(Exchange exchange, Generation generation, int from) throws IOException, InterruptedException {
 		if (from < generation.firstOffset()) {
 			exchange.sendError(416, "The stream began at offset " + generation.firstOffset());
 			return;
@@ -140,9 +140,9 @@
 		new AnswerWriter(exchange, generation, faults()).writeEvents(from);
 	}
 
-	private void order(Exchange exchange) throws IOException, InterruptedException {
+	private void applyOrder(Exchange exchange) throws IOException, InterruptedException {
 		Orders.OrderState order = exchange.json(Orders.OrderState.class);
-		if (!this.orders.take(order)) {
+		if (!this.orders.accept(order)) {
 			exchange.send(409, this.orders.state());
 			return;
 		}
@@ -159,22 +159,22 @@
 	}
 
 	private void sendLoad(Exchange exchange) throws IOException {
-		LaggingView.Stamped<LoadSample> seen = this.load.get();
-		LoadSample sample = seen.value();
-		exchange.send(200, new LoadReport(seen.at().toString(), sample.running(), sample.queued(),
+		LaggingView.Stamped<LoadSample> visible = this.load.get();
+		LoadSample sample = visible.value();
+		exchange.send(200, new LoadReport(visible.at().toString(), sample.running(), sample.queued(),
 				sample.tokensPerSecond(), sample.kvUsedTokens(), this.options.prefixCacheTokens()));
 	}
 
 	private void sampleLoad() {
-		Duration half = this.options.reportLag().dividedBy(2);
-		Duration period = (half.compareTo(SHORTEST_SAMPLE) > 0) ? half : SHORTEST_SAMPLE;
-		long before = 0;
+		Duration halfLag = this.options.reportLag().dividedBy(2);
+		Duration period = (halfLag.compareTo(MINIMUM_SAMPLE_PERIOD) > 0) ? halfLag : MINIMUM_SAMPLE_PERIOD;
+		long previousTokens = 0;
 		try {
 			while (!Thread.currentThread().isInterrupted()) {
 				Thread.sleep(period);
-				long now = this.runner.generatedTokens();
-				double rate = (now - before) * 1e9 / period.toNanos();
-				before = now;
+				long generatedTokens = this.runner.generatedTokens();
+				double rate = (generatedTokens - previousTokens) * 1e9 / period.toNanos();
+				previousTokens = generatedTokens;
 				this.load
 					.set(new LoadSample(this.runner.running(), this.runner.queued(), rate, this.runner.kvUsedTokens()));
 			}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/Generation.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/Generation.java
@@ -1,8 +1,8 @@
 package org.banyancove.standins.engine;
 
 /**
- * One answer in the making, which any number of connections may follow from any offset.
- * Safe for many threads.
+ * A generation in progress, whose tokens any number of connections can read from any
+ * offset. This class is thread-safe.
  */
 final class Generation {
 
@@ -92,9 +92,9 @@
 	}
 
 	/**
-	 * Waits until the token at an offset is there, or there will be none.
+	 * Waits until the token at an offset is available or the generation has ended.
 	 * @param offset the offset
-	 * @return whether it is there
+	 * @return whether the token is available
 	 */
 	synchronized boolean await(int offset) throws InterruptedException {
 		while (this.available <= offset && this.ending == Ending.NONE) {
@@ -110,13 +110,13 @@
 	}
 
 	/**
-	 * What an answer cost.
+	 * The token usage of a response.
 	 *
 	 * @param promptTokens the prompt's tokens
-	 * @param completionTokens the tokens of the whole answer
-	 * @param totalTokens both
-	 * @param cachedTokens the prompt's tokens that were in the prefix cache or imported
-	 * @param recomputedTokens the tokens that an earlier attempt had computed already
+	 * @param completionTokens the tokens of the complete response
+	 * @param totalTokens the sum of prompt and completion tokens
+	 * @param cachedTokens the prompt tokens that were in the prefix cache or imported
+	 * @param recomputedTokens the tokens that an earlier attempt had already computed
 	 */
 	record Usage(int promptTokens, int completionTokens, int totalTokens, int cachedTokens, int recomputedTokens) {
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/GenerationRunner.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/GenerationRunner.java
@@ -10,14 +10,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs generations at the engine's speed, which the running ones share evenly. Safe for
- * many threads; each generation runs on a thread of its own.
+ * Runs generations at the engine's speed, which the running ones share evenly. Each
+ * generation runs on its own thread. This class is thread-safe.
  */
 final class GenerationRunner {
 
 	private static final int DEFAULT_MAX_TOKENS = 128;
 
-	private static final int KEPT = 4_096;
+	private static final int MAXIMUM_RETAINED_GENERATIONS = 4_096;
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -43,7 +43,7 @@
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Generation> eldest) {
-			return size() > KEPT && !eldest.getValue().isRunning();
+			return size() > MAXIMUM_RETAINED_GENERATIONS && !eldest.getValue().isRunning();
 		}
 
 	};
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Registers a generation, which takes the place of an earlier one of its request.
+	 * Registers a generation, which replaces and cancels an earlier one of its request.
 	 * @param requestId the request's identifier
 	 * @param attempt the number of the attempt, from one
 	 * @param request the chat
@@ -68,14 +68,15 @@
 		List<String> words = request.promptWords();
 		TokenText text = new TokenText(request.model(), request.messages());
 		int resumed = (request.resume() != null) ? request.resume().offset() : 0;
-		int imported = this.kvStore.take(requestId, text);
+		int imported = this.kvStore.remove(requestId, text);
 		int cached = (imported >= 0) ? words.size() : this.cache.use(words);
-		int again = words.size() - cached + Math.max(0, resumed - Math.max(0, imported));
-		int recomputed = (attempt > 1 || resumed > 0) ? again : 0;
+		int computed = words.size() - cached + Math.max(0, resumed - Math.max(0, imported));
+		int recomputed = (attempt > 1 || resumed > 0) ? computed : 0;
 		this.recomputedTokens.add(recomputed);
-		int end = (request.maxTokens() != null) ? request.maxTokens() : DEFAULT_MAX_TOKENS;
-		Generation.Usage usage = new Generation.Usage(words.size(), end, words.size() + end, cached, recomputed);
-		Generation generation = new Generation(requestId, request, end, usage);
+		int endOffset = (request.maxTokens() != null) ? request.maxTokens() : DEFAULT_MAX_TOKENS;
+		Generation.Usage usage = new Generation.Usage(words.size(), endOffset, words.size() + endOffset, cached,
+				recomputed);
+		Generation generation = new Generation(requestId, request, endOffset, usage);
 		Generation earlier = this.generations.put(requestId, generation);
 		if (earlier != null) {
 			earlier.cancel();
@@ -84,27 +85,27 @@
 	}
 
 	/**
-	 * Runs a generation to its end.
+	 * Runs a generation until it ends.
 	 * @param generation the generation
-	 * @param priority its place in the queue, zero for the most urgent
+	 * @param priority the queue priority, zero for the highest
 	 */
 	void run(Generation generation, int priority) {
 		try {
-			this.batch.enter(priority);
+			this.batch.acquireSlot(priority);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 			return;
 		}
 		try {
-			crashIfTold(generation.request());
+			crashIfTriggered(generation.request());
 			generate(generation);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
 		finally {
-			this.batch.leave();
+			this.batch.releaseSlot();
 		}
 	}
 
@@ -161,19 +162,19 @@
 	}
 
 	private long nanos(int tokens, double perSecond) {
-		double slower = Math.max(1, this.faults.number(EngineFault.SLOW_FACTOR));
-		double share = Math.max(1, this.batch.running());
-		return (long) (tokens * share * slower / perSecond * NANOS_PER_SECOND);
+		double slowFactor = Math.max(1, this.faults.number(EngineFault.SLOW_FACTOR));
+		double concurrency = Math.max(1, this.batch.running());
+		return (long) (tokens * concurrency * slowFactor / perSecond * NANOS_PER_SECOND);
 	}
 
 	private void sleepUntil(long due) throws InterruptedException {
-		long left = due - System.nanoTime();
-		if (left > 0) {
-			TimeUnit.NANOSECONDS.sleep(left);
+		long remainingNanos = due - System.nanoTime();
+		if (remainingNanos > 0) {
+			TimeUnit.NANOSECONDS.sleep(remainingNanos);
 		}
 	}
 
-	private void crashIfTold(ChatRequest request) {
+	private void crashIfTriggered(ChatRequest request) {
 		String word = this.faults.text(EngineFault.CRASH_ON_WORD);
 		if (!word.isEmpty() && request.promptWords().contains(word)) {
 			this.crash.run();
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/KvStore.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/KvStore.java
@@ -8,17 +8,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * KV caches that other engines exported, by request. Safe for many threads.
+ * KV caches imported from other engines, by request. This class is thread-safe.
  */
 final class KvStore {
 
-	private static final int MOST_COPIES = 1_000;
+	private static final int MAXIMUM_COPIES = 1_000;
 
 	private final Map<String, KvCopy> copies = new LinkedHashMap<>() {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, KvCopy> eldest) {
-			return size() > MOST_COPIES;
+			return size() > MAXIMUM_COPIES;
 		}
 
 	};
@@ -32,12 +32,13 @@
 	}
 
 	/**
-	 * Takes the copy for a request, if it is one of the same prompt.
+	 * Removes the copy for a request and checks that it belongs to the same prompt.
 	 * @param requestId the request's identifier
-	 * @param text the text of its model and messages
-	 * @return up to which offset the prompt and answer are computed, or -1 for no copy
+	 * @param text the text for the request's model and messages
+	 * @return the offset up to which the prompt and response are computed, or -1 without
+	 * a matching copy
 	 */
-	synchronized int take(String requestId, TokenText text) {
+	synchronized int remove(String requestId, TokenText text) {
 		@Nullable KvCopy copy = this.copies.remove(requestId);
 		return (copy != null && copy.firstToken().equals(text.piece(0))) ? copy.offset() : -1;
 	}
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/ModelLoader.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/ModelLoader.java
@@ -14,12 +14,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Loads models from the platform's weight store, as slowly as the store's rate allows, or
- * at once where there is no store. Safe for many threads.
+ * Loads models from the platform's weight store at the rate that the store admits, or
+ * instantly without a store. This class is thread-safe.
  */
 final class ModelLoader {
 
-	private static final Duration AFTER_FAILURE = Duration.ofMillis(200);
+	private static final Duration RETRY_DELAY_AFTER_FAILURE = Duration.ofMillis(200);
 
 	private final @Nullable InetSocketAddress store;
 
@@ -35,7 +35,7 @@
 		return this.loaded.contains(model);
 	}
 
-	void unloadAllBut(Collection<String> models) {
+	void unloadAllExcept(Collection<String> models) {
 		this.loaded.retainAll(models);
 	}
 
@@ -57,16 +57,16 @@
 		}
 		URI uri = URI.create("http://127.0.0.1:" + this.store.getPort() + "/weights/" + model);
 		try {
-			HttpResponse<String> answer = this.client.send(HttpRequest.newBuilder(uri).build(),
+			HttpResponse<String> response = this.client.send(HttpRequest.newBuilder(uri).build(),
 					HttpResponse.BodyHandlers.ofString());
-			if (answer.statusCode() == 200) {
+			if (response.statusCode() == 200) {
 				return Duration.ZERO;
 			}
-			return Duration.ofSeconds(answer.headers().firstValueAsLong("Retry-After").orElse(1));
+			return Duration.ofSeconds(response.headers().firstValueAsLong("Retry-After").orElse(1));
 		}
 		catch (IOException ex) {
-			// The store is away for a while; the order stands, so the load goes on.
-			return AFTER_FAILURE;
+			// The store is temporarily unavailable. The order still applies, so retry.
+			return RETRY_DELAY_AFTER_FAILURE;
 		}
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/Orders.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/Orders.java
@@ -5,8 +5,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The orders an engine has taken. An engine that ignores fencing numbers takes every
- * order, the late one of a paused planner included. Safe for many threads.
+ * The orders of an engine. An engine that ignores fencing tokens accepts every order,
+ * including a late one of a paused planner. This class is thread-safe.
  */
 final class Orders {
 
@@ -14,7 +14,7 @@
 
 	private final ModelLoader loader;
 
-	private OrderState wanted = new OrderState(0, List.of(), List.of(), "mixed");
+	private OrderState desired = new OrderState(0, List.of(), List.of(), "mixed");
 
 	Orders(boolean checkFence, ModelLoader loader) {
 		this.checkFence = checkFence;
@@ -22,59 +22,60 @@
 	}
 
 	/**
-	 * Takes an order.
-	 * @param order the wanted state
-	 * @return whether it was taken, {@code false} for an old fencing number
+	 * Accepts an order, unless its fencing token is checked and stale.
+	 * @param order the desired state
+	 * @return whether the order was accepted
 	 */
-	synchronized boolean take(OrderState order) {
-		if (this.checkFence && order.fence() < this.wanted.fence()) {
+	synchronized boolean accept(OrderState order) {
+		if (this.checkFence && order.fence() < this.desired.fence()) {
 			return false;
 		}
-		this.wanted = order;
-		this.loader.unloadAllBut(order.models());
+		this.desired = order;
+		this.loader.unloadAllExcept(order.models());
 		return true;
 	}
 
 	/**
-	 * Loads what the order in force names, until it does not stand any more.
+	 * Loads the models of an order, except those that a newer order has removed.
 	 * @param order the order
-	 * @throws InterruptedException if the engine stops
+	 * @throws InterruptedException if the engine is stopped
 	 */
 	void load(OrderState order) throws InterruptedException {
 		for (String model : order.models()) {
-			if (wanted().models().contains(model)) {
+			if (desired().models().contains(model)) {
 				this.loader.load(model);
 			}
 		}
 	}
 
 	/**
-	 * Returns the state in force: of the models wanted, those that are loaded.
+	 * Returns the actual state, with those of the desired models that are loaded.
 	 * @return the state
 	 */
 	OrderState state() {
-		OrderState order = wanted();
+		OrderState order = desired();
 		return new OrderState(order.fence(), order.models().stream().filter(this.loader::isLoaded).toList(),
 				order.adapters(), order.role());
 	}
 
 	/**
-	 * Returns whether a model is loaded; an engine without orders serves every model.
+	 * Returns whether a model is loaded. An engine without ordered models serves every
+	 * model.
 	 * @param model the model
-	 * @return whether it is served
+	 * @return whether the model is served
 	 */
 	boolean serves(String model) {
-		return wanted().models().isEmpty() || state().models().contains(model);
+		return desired().models().isEmpty() || state().models().contains(model);
 	}
 
-	private synchronized OrderState wanted() {
-		return this.wanted;
+	private synchronized OrderState desired() {
+		return this.desired;
 	}
 
 	/**
-	 * The wanted state that an order names.
+	 * The state that an order requests.
 	 *
-	 * @param fence the fencing number
+	 * @param fence the fencing token
 	 * @param models the models to load
 	 * @param adapters the adapters to load
 	 * @param role the engine's role
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/PrefixCache.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/PrefixCache.java
@@ -10,12 +10,12 @@
 import org.banyancove.standins.support.Digests;
 
 /**
- * The prefix cache: prompt prefixes of 64, 128, 256, … words by digest, of which the
- * least recently used go first. Safe for many threads.
+ * LRU cache of prompt prefixes of 64, 128, 256, … words by digest. This class is
+ * thread-safe.
  */
 final class PrefixCache {
 
-	private static final int SHORTEST = 64;
+	private static final int MINIMUM_PREFIX_LENGTH = 64;
 
 	private static final int DIGEST_DIGITS = 16;
 
@@ -33,9 +33,10 @@
 	}
 
 	/**
-	 * Returns how many words at a prompt's start are cached, and caches all of it.
+	 * Returns the length of a prompt's longest cached prefix, and caches all its
+	 * prefixes.
 	 * @param words the prompt's words
-	 * @return the number of words that need no computing
+	 * @return the number of words that need not be computed
 	 */
 	synchronized int use(List<String> words) {
 		int cached = 0;
@@ -46,7 +47,8 @@
 			}
 			cached = prefix.length();
 		}
-		// The longest first, so that the short ones, which more prompts share, go last.
+		// Store the longest first, so that short prefixes, which more prompts share, are
+		// evicted last.
 		prefixes.reversed().forEach(this::store);
 		evict();
 		return cached;
@@ -58,29 +60,29 @@
 
 	private void store(Prefix prefix) {
 		if (this.lengthByDigest.putIfAbsent(prefix.digest(), prefix.length()) == null) {
-			this.usedTokens += ownTokens(prefix.length());
+			this.usedTokens += incrementalTokens(prefix.length());
 			this.listener.changed("stored", prefix.digest(), prefix.length());
 		}
 	}
 
 	private void evict() {
-		Iterator<Map.Entry<String, Integer>> oldest = this.lengthByDigest.entrySet().iterator();
-		while (this.usedTokens > this.limitTokens && oldest.hasNext()) {
-			Map.Entry<String, Integer> entry = oldest.next();
-			this.usedTokens -= ownTokens(entry.getValue());
+		Iterator<Map.Entry<String, Integer>> leastRecentlyUsed = this.lengthByDigest.entrySet().iterator();
+		while (this.usedTokens > this.limitTokens && leastRecentlyUsed.hasNext()) {
+			Map.Entry<String, Integer> entry = leastRecentlyUsed.next();
+			this.usedTokens -= incrementalTokens(entry.getValue());
 			this.listener.changed("evicted", entry.getKey(), entry.getValue());
-			oldest.remove();
+			leastRecentlyUsed.remove();
 		}
 	}
 
-	private static int ownTokens(int length) {
+	private static int incrementalTokens(int length) {
 		// A longer prefix shares the memory of the shorter ones before it.
-		return (length > SHORTEST) ? length / 2 : length;
+		return (length > MINIMUM_PREFIX_LENGTH) ? length / 2 : length;
 	}
 
 	private static List<Prefix> prefixes(List<String> words) {
 		List<Prefix> prefixes = new ArrayList<>();
-		for (int length = SHORTEST; length <= words.size(); length *= 2) {
+		for (int length = MINIMUM_PREFIX_LENGTH; length <= words.size(); length *= 2) {
 			String text = String.join(" ", words.subList(0, length));
 			prefixes.add(new Prefix(Digests.hex(text.getBytes(StandardCharsets.UTF_8), DIGEST_DIGITS), length));
 		}
@@ -91,7 +93,7 @@
 	}
 
 	/**
-	 * Told of each change of the cache.
+	 * Receives the changes of the cache.
 	 */
 	@FunctionalInterface
 	interface CacheListener {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/TokenText.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/TokenText.java
@@ -8,8 +8,8 @@
 import org.banyancove.standins.support.Digests;
 
 /**
- * The text that a model generates here: a function of the model and the messages alone,
- * so that an answer put together from several engines can be checked word for word.
+ * The text that a model generates. It depends only on the model and the messages, so that
+ * a response assembled from several engines can be verified word by word.
  */
 public final class TokenText {
 
@@ -18,7 +18,7 @@
 
 	private static final int SEED_DIGITS = 15;
 
-	private static final long STEP = 0x9E3779B97F4A7C15L;
+	private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
 	private final long seed;
 
@@ -36,22 +36,21 @@
 	}
 
 	/**
-	 * Returns a token as it stands in the text: a word, with a space before it unless it
-	 * is the first.
+	 * Returns the text of a token: a word, preceded by a space unless it is the first.
 	 * @param index the token's index from zero
-	 * @return the piece of text
+	 * @return the text
 	 */
 	public String piece(int index) {
-		long mixed = (this.seed + index) * STEP;
+		long mixed = (this.seed + index) * HASH_MULTIPLIER;
 		String word = SYLLABLES.get((int) (mixed >>> 60)) + SYLLABLES.get((int) (mixed >>> 56) & 15)
 				+ SYLLABLES.get((int) (mixed >>> 52) & 15);
 		return (index > 0) ? " " + word : word;
 	}
 
 	/**
-	 * Returns the text of some tokens.
-	 * @param from the first token's index
-	 * @param to the index after the last token's
+	 * Returns the text of a range of tokens.
+	 * @param from the index of the first token
+	 * @param to the index after the last token
 	 * @return the text
 	 */
 	public String text(int from, int to) {
--- a/banyancove-standins/src/main/java/org/banyancove/standins/engine/package-info.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/engine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a model engine: continuous batching, prefix cache, streams, orders.
+ * Stand-in for a model engine: continuous batching, prefix cache, streams, orders.
  */
 @NullMarked
 package org.banyancove.standins.engine;
--- a/banyancove-standins/src/test/java/org/banyancove/standins/engine/BatchTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/engine/BatchTests.java
@@ -12,28 +12,28 @@
 
 	private final Batch batch = new Batch(1);
 
-	private final BlockingQueue<Integer> entered = new LinkedBlockingQueue<>();
+	private final BlockingQueue<Integer> admitted = new LinkedBlockingQueue<>();
 
 	@Test
-	void letsTheMostUrgentInFirst() throws Exception {
-		this.batch.enter(0);
+	void admitsHighestPriorityFirst() throws Exception {
+		this.batch.acquireSlot(0);
 		for (int priority : List.of(2, 0, 1)) {
-			Thread.startVirtualThread(() -> enter(priority));
+			Thread.startVirtualThread(() -> acquireSlot(priority));
 		}
 		while (this.batch.queued() < 3) {
 			Thread.onSpinWait();
 		}
 		for (int priority : List.of(0, 1, 2)) {
-			this.batch.leave();
-			assertThat(this.entered.take()).isEqualTo(priority);
+			this.batch.releaseSlot();
+			assertThat(this.admitted.take()).isEqualTo(priority);
 		}
 		assertThat(this.batch.running()).isEqualTo(1);
 	}
 
-	private void enter(int priority) {
+	private void acquireSlot(int priority) {
 		try {
-			this.batch.enter(priority);
-			this.entered.add(priority);
+			this.batch.acquireSlot(priority);
+			this.admitted.add(priority);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/banyancove-standins/src/test/java/org/banyancove/standins/engine/EngineStandinTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/engine/EngineStandinTests.java
@@ -30,14 +30,14 @@
 	}
 
 	@Test
-	void answersWhole() throws Exception {
+	void respondsWithoutStreaming() throws Exception {
 		JsonNode answer = this.client.json("POST", "/v1/chat/completions", chat(5, false, ""));
 		assertThat(answer.at("/choices/0/message/content").asText()).isEqualTo(TEXT.text(0, 5));
 		assertThat(answer.at("/usage/completion_tokens").asInt()).isEqualTo(5);
 	}
 
 	@Test
-	void streamsEventsThatCanBeFollowedAgain() throws Exception {
+	void streamsEventsAndAllowsReattachment() throws Exception {
 		String events = this.client.send("POST", "/v1/chat/completions", chat(3, true, ""), "X-Request-Id", "r").body();
 		assertThat(events).startsWith("id: 1\ndata: ").contains("id: 3\n").endsWith("data: [DONE]\n\n");
 		assertThat(this.client.send("GET", "/v1/streams/r?from=2", "").body()).startsWith("id: 3\ndata: ")
@@ -46,21 +46,20 @@
 	}
 
 	@Test
-	void resumesWhatAnotherEngineBegan() throws Exception {
+	void resumesPartialResponseOfAnotherEngine() throws Exception {
 		String resume = ",\"resume\":{\"offset\":3,\"text\":\"" + TEXT.text(0, 3) + "\"}";
 		JsonNode answer = this.client.json("POST", "/v1/chat/completions", chat(5, false, resume));
 		assertThat(answer.at("/choices/0/message/content").asText()).isEqualTo(TEXT.text(3, 5));
 		assertThat(this.engine.recomputedTokens()).isEqualTo(5);
 	}
 
-	// The caller's stream breaks off, doubles or goes out of order while the engine
-	// goes on generating: the text behind it is whole, and another connection can
-	// follow it.
+	// A stream is cut, truncated, duplicated or reordered while the engine continues to
+	// generate. Another connection can still read the complete text.
 	@ParameterizedTest
 	@CsvSource({ "cutStreams, 1", "truncateStreams, 1", "repeatPieces, 4", "reorderPieces, 4" })
-	void misbehavesOnOneStreamAndServesItAgain(String fault, int pieces) throws Exception {
+	void injectsStreamFaultAndServesCompleteStreamAgain(String fault, int pieces) throws Exception {
 		this.client.send("POST", "/standin/faults", "{\"" + fault + "\":1,\"afterTokens\":1}");
-		String broken = bodyOrNothing();
+		String broken = bodyOrEmpty();
 		assertThat(broken.lines().filter((line) -> line.startsWith("id: ")).distinct().count())
 			.isLessThanOrEqualTo(pieces);
 		assertThat(broken).isNotEqualTo(this.client.send("GET", "/v1/streams/r?from=0", "").body());
@@ -68,8 +67,8 @@
 			.endsWith("data: [DONE]\n\n");
 	}
 
-	// The connection stays open and nothing comes any more, as when something between the
-	// two ends has lost track of it; a new connection to the same engine works.
+	// The connection stays open but nothing is received, as when a middlebox has lost its
+	// connection state. A new connection to the same engine works.
 	@Test
 	void silencesOpenConnections() throws Exception {
 		this.client.send("GET", "/health", "");
@@ -79,23 +78,23 @@
 		assertThat(new StandinClient(this.engine.address()).send("GET", "/health", "").statusCode()).isEqualTo(200);
 	}
 
-	// Every engine that begins to run the prompt dies: its other callers lose their
-	// connections too, and nothing listens there afterwards.
+	// Every engine that starts to run the prompt crashes: its other clients lose their
+	// connections too, and the address no longer accepts connections.
 	@Test
-	void crashesOnAWord() throws Exception {
+	void crashesOnPromptWithConfiguredWord() throws Exception {
 		this.engine.faults().set(EngineFault.CRASH_ON_WORD, "plan");
 		assertThatIOException().isThrownBy(() -> this.client.send("POST", "/v1/chat/completions", chat(4, true, "")));
 		assertThatIOException().isThrownBy(() -> this.client.send("GET", "/health", ""));
 	}
 
 	@Test
-	void resumesFromAnImportedCacheWithoutRecomputing() throws Exception {
+	void resumesFromImportedKvCacheWithoutRecomputing() throws Exception {
 		this.client.send("POST", "/v1/chat/completions", chat(4, false, ""), "X-Request-Id", "r");
 		String exported = this.client.send("GET", "/v1/kv/r", "").body();
 		try (EngineStandin other = new EngineStandin(EngineOptions.defaults()).start()) {
-			StandinClient otherCaller = new StandinClient(other.address());
-			assertThat(otherCaller.send("PUT", "/v1/kv/r", exported).statusCode()).isEqualTo(204);
-			JsonNode answer = otherCaller.json("POST", "/v1/chat/completions",
+			StandinClient otherClient = new StandinClient(other.address());
+			assertThat(otherClient.send("PUT", "/v1/kv/r", exported).statusCode()).isEqualTo(204);
+			JsonNode answer = otherClient.json("POST", "/v1/chat/completions",
 					chat(6, false, ",\"resume\":{\"offset\":4,\"text\":\"\"}"), "X-Request-Id", "r", "X-Attempt", "2");
 			assertThat(answer.at("/choices/0/message/content").asText()).isEqualTo(TEXT.text(4, 6));
 			assertThat(other.recomputedTokens()).isZero();
@@ -104,7 +103,7 @@
 
 	@ParameterizedTest
 	@CsvSource({ "true, 409, new", "false, 200, old" })
-	void refusesOldFencingNumbersWhereItChecksThem(boolean checks, int status, String model) throws Exception {
+	void rejectsStaleFencingTokensOnlyIfChecked(boolean checks, int status, String model) throws Exception {
 		try (EngineStandin fenced = new EngineStandin(EngineOptions.defaults().withCheckFence(checks)).start()) {
 			StandinClient planner = new StandinClient(fenced.address());
 			planner.send("POST", "/v1/orders", "{\"fence\":7,\"models\":[\"new\"]}");
@@ -115,7 +114,7 @@
 		}
 	}
 
-	private String bodyOrNothing() throws InterruptedException {
+	private String bodyOrEmpty() throws InterruptedException {
 		try {
 			return this.client.send("POST", "/v1/chat/completions", chat(4, true, ""), "X-Request-Id", "r").body();
 		}
@@ -124,9 +123,9 @@
 		}
 	}
 
-	private static String chat(int tokens, boolean stream, String more) {
+	private static String chat(int tokens, boolean stream, String suffix) {
 		return "{\"model\":\"plans\",\"messages\":[{\"role\":\"user\",\"content\":\"feed plan\"}],\"max_tokens\":"
-				+ tokens + ",\"stream\":" + stream + more + "}";
+				+ tokens + ",\"stream\":" + stream + suffix + "}";
 	}
 
 }
--- a/banyancove-standins/src/test/java/org/banyancove/standins/engine/PrefixCacheTests.java
+++ b/banyancove-standins/src/test/java/org/banyancove/standins/engine/PrefixCacheTests.java
@@ -16,7 +16,7 @@
 			(kind, digest, tokens) -> this.events.add(kind + " " + tokens));
 
 	@Test
-	void keepsTheLeastRecentlyUsedPrefixesWithinItsMemory() {
+	void evictsLeastRecentlyUsedPrefixesOverCapacity() {
 		List<String> first = Collections.nCopies(150, "first");
 		List<String> second = Collections.nCopies(70, "second");
 		assertThat(this.cache.use(first)).isZero();
