--- a/banyancove-core/src/main/java/org/banyancove/core/burn/BurnRow.java
+++ b/banyancove-core/src/main/java/org/banyancove/core/burn/BurnRow.java
@@ -9,7 +9,7 @@
  * @param key the profile and account
  * @param objective the share of requests that should meet the targets
  * @param windows the burn over each window, in the order of {@link BurnWindow}
- * @param alarms the alarms raised
+ * @param alarms the raised alarms
  */
 public record BurnRow(BurnKey key, double objective, List<WindowBurn> windows, Set<BurnAlarm> alarms) {
 
@@ -26,7 +26,7 @@
 	 * @param window the window
 	 * @return the burn
 	 */
-	public WindowBurn over(BurnWindow window) {
+	public WindowBurn burnOver(BurnWindow window) {
 		return WindowBurn.over(this.windows, window);
 	}
 
--- a/banyancove-standins/src/main/java/org/banyancove/standins/LoadCommand.java
+++ b/banyancove-standins/src/main/java/org/banyancove/standins/LoadCommand.java
@@ -19,7 +19,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs a load.
+ * Runs the load generator.
  */
 @Parameters(commandDescription = "A bounded load over loopback, of the system and of stand-ins called directly")
 final class LoadCommand implements StandinCommand {
@@ -96,7 +96,7 @@
 		try (LoadRun run = new LoadRun(options())) {
 			LoadReport report = run.run();
 			output.println(this.json ? Json.MAPPER.writeValueAsString(report) : report.toTable());
-			return report.allWholeAndRight() ? ExitCode.SUCCESS : ExitCode.FAILURE;
+			return report.allCompleteAndCorrect() ? ExitCode.SUCCESS : ExitCode.FAILURE;
 		}
 	}
 
