--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RetryLimits.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/exchange/RetryLimits.java
@@ -1,10 +1,10 @@
 package org.banyancove.gateway.exchange;
 
 /**
- * The retry limits of a service, for all gateways together.
+ * The retry limits of a service within a window, for all gateways together.
  *
  * @param ratio the retries allowed per request
- * @param burst the additional retries allowed in a burst
+ * @param burst the retries allowed in addition to those
  */
 public record RetryLimits(double ratio, double burst) {
 
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/Topic.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/Topic.java
@@ -12,7 +12,7 @@
 	/** The registrations of endpoints. */
 	ENDPOINTS,
 
-	/** The registrations of gateways. */
+	/** The addresses of gateways. */
 	GATEWAYS,
 
 	/** The status reports for operators. */
--- a/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicPage.java
+++ b/banyancove-gateway/src/main/java/org/banyancove/gateway/shared/TopicPage.java
@@ -9,8 +9,8 @@
  *
  * @param records the records
  * @param nextOffset the offset from which to read further changes
- * @param nextKey the key after which to read the next page, or {@code null} if this is
- * the last page
+ * @param nextKey the key after which to read the next page, before any changes, or
+ * {@code null} if this is the last page
  * @param historyLost whether changes were dropped, so that the latest record of each key
  * must be read again
  */
